--- a/crates/cli/tests/check_keys.rs
+++ b/crates/cli/tests/check_keys.rs
@@ -1,5 +1,5 @@
-//! `cedarpulley check` on the settings files in `fixtures/check`: the exit code and, of each line, file, line and key
-//! are those in `fixtures/check.txt`. What is said after the key is not held.
+//! Runs `cedarpulley check` on the settings files in `fixtures/check` and compares the exit code, and the file, line number
+//! and key of each printed line, with `fixtures/check.txt`. The text after the key is not compared.
 
 mod pinned;
 
@@ -19,23 +19,24 @@
     "several.toml",
 ];
 
-/// Of `FILE:LINE: KEY: CAUSE` all before the cause; of a syntax error, which has no key, file and line.
+/// Returns the part of `FILE:LINE: KEY: CAUSE` before the cause; for a syntax error, which has no key, `FILE:LINE`.
 fn up_to_key(line: &str) -> String {
     let parts: Vec<&str> = line.splitn(3, ": ").collect();
     let key = |part: &&str| {
-        let of_key = |c: char| c.is_ascii_alphanumeric() || "_.[]".contains(c);
-        part.chars().all(of_key)
+        let is_key_char = |c: char| c.is_ascii_alphanumeric() || "_.[]".contains(c);
+        part.chars().all(is_key_char)
     };
     match parts[..] {
-        [place, second, _] if key(&second) => format!("{place}: {second}"),
-        [place, ..] => place.to_owned(),
+        [location, second, _] if key(&second) => format!("{location}: {second}"),
+        [location, ..] => location.to_owned(),
         [] => String::new(),
     }
 }
 
-fn said(folder: &Path, file: &str) -> String {
+/// Returns the exit code and the printed lines without their causes.
+fn check_result(folder: &Path, file: &str) -> String {
     let output = run_in(folder, &["check", file]);
-    let code = output.status.code().expect("it ends by itself");
+    let code = output.status.code().expect("the program exits by itself");
     let lines = text(&output.stdout) + &text(&output.stderr);
     let lines: String = lines.lines().map(|l| up_to_key(l) + "\n").collect();
     format!("{file} ends with {code}\n{lines}")
@@ -44,6 +45,9 @@
 #[test]
 fn errors_of_settings_keep_their_lines_and_keys() {
     let folder = fixtures().join("check");
-    let seen: Vec<String> = FILES.iter().map(|file| said(&folder, file)).collect();
-    same_as_kept("check.txt", &seen.concat());
+    let outputs: Vec<String> = FILES
+        .iter()
+        .map(|file| check_result(&folder, file))
+        .collect();
+    assert_equals_fixture("check.txt", &outputs.concat());
 }
--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -1,4 +1,5 @@
-//! Whole days through the built program: the judge sees each rule broken on purpose, and a clean day clean.
+//! Runs complete scenarios with the built program: the invariant checker finds each deliberate violation of a rule, and no
+//! violation in an unmodified run. Also checks the handling of invalid settings and files.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -17,6 +18,7 @@
         .expect("the program starts")
 }
 
+/// Returns the path of an output of this name.
 fn out(name: &str) -> String {
     Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(name)
@@ -36,14 +38,15 @@
         .to_owned()
 }
 
+/// Reads the verdict of the invariant checker from the folder of a run.
 fn verdict(folder: &str) -> serde_json::Value {
-    let text =
-        std::fs::read_to_string(Path::new(folder).join("audit.json")).expect("a verdict is left");
+    let text = std::fs::read_to_string(Path::new(folder).join("audit.json"))
+        .expect("a verdict was written");
     serde_json::from_str(&text).expect("JSON")
 }
 
 #[test]
-fn a_short_day_is_clean_and_each_tampered_one_is_caught() {
+fn a_short_scenario_has_no_violation_and_each_tampered_one_is_detected() {
     let kinds = [
         ("", 0),
         ("late", 1),
@@ -54,7 +57,7 @@
         ("push", 4),
         ("orders", 5),
     ];
-    // A few at a time, so that a day is not late for want of a core.
+    // Only three at a time, so that no scenario is delayed by a lack of processor cores.
     for some in kinds.chunks(3) {
         std::thread::scope(|scope| {
             for &(kind, rule) in some {
@@ -98,14 +101,14 @@
             }
         });
     }
-    // A kept run is judged alike again.
+    // A repeated check of a stored run has the same result.
     let again = cedarpulley(&["audit", &out("day-lost")]);
     assert_eq!(again.status.code(), Some(1));
     assert_eq!(cedarpulley(&["audit", &out("day-")]).status.code(), Some(0));
 }
 
 #[test]
-fn wrong_settings_are_refused_whole_with_a_line_for_each() {
+fn invalid_settings_are_rejected_with_one_line_for_each_error() {
     let file = out("wrong.toml");
     let wrong = r#"
 [router]
@@ -168,7 +171,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_two_and_one_line() {
+fn invalid_input_exits_with_code_2_and_one_line() {
     for args in [
         ["day", "days/none.toml"],
         ["audit", "days"],
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn ledgers_are_reported_and_merged_and_wrong_ones_refused() {
+fn ledgers_are_reported_and_merged_and_invalid_ones_rejected() {
     use cedarpulley_usage_metering::usage::{Usage, UsageByKey, UsageKey, UsageKind};
     use cedarpulley_usage_store::Ledger;
     let folder = PathBuf::from(out("ledgers"));
@@ -225,7 +228,7 @@
     };
     let line = "\"amber, inc\",1728000000,6.000000,6000000000000,3";
     assert!(csv(&all).lines().any(|l| l == line), "{}", csv(&all));
-    // Twice into the same: nothing changes.
+    // Merging twice into the same file changes nothing.
     for _ in 0..2 {
         assert_eq!(
             cedarpulley(&["meter", "merge", &all, "--out", &merged])
--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -74,7 +74,9 @@
     lose(&mut w);
     let lost = Instant::now();
     drain(&w.seen);
-    thread::sleep((lost + COUNTS_AS_RECEIVED_AFTER + GRACE).saturating_duration_since(Instant::now()));
+    thread::sleep(
+        (lost + COUNTS_AS_RECEIVED_AFTER + GRACE).saturating_duration_since(Instant::now()),
+    );
     let told = Instant::now();
     let successes = successes(&w, 1_000);
     assert_eq!(rejected_since(&w.seen, told), 0, "sends after the grace");
@@ -221,7 +223,9 @@
     let text = call(&id(2), "plain", GOOD, "", "x");
     let mut waiting = w.connect();
     waiting.write_all(text.as_bytes()).expect("sent");
-    w.until("a health check was received", |w| w.seen.lock().expect("seen").probes > 0);
+    w.until("a health check was received", |w| {
+        w.seen.lock().expect("seen").probes > 0
+    });
     thread::sleep(Duration::from_millis(200));
     w.turns();
     w.free(&id(1));
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -1,4 +1,4 @@
-//! The operators' page of errors has every error of the packages, and none that is gone.
+//! Checks that the operators' page of errors lists every error of the packages, and no error that no longer exists.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All files below a folder.
+/// Returns all files below a folder.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).into_iter().flatten().flatten() {
@@ -21,7 +21,7 @@
     files
 }
 
-/// Every source file of every package without its tests, with its package's name.
+/// Returns the package name and the text of every source file, without the tests in it.
 fn sources() -> Vec<(String, String)> {
     let mut found = Vec::new();
     for package in std::fs::read_dir(root().join("crates"))
@@ -42,7 +42,7 @@
     found
 }
 
-/// The literal that begins the text, without its quotes.
+/// Returns the string literal at the start of the text, without its quotes.
 fn literal(text: &str) -> Option<String> {
     let inner = text.trim_start().strip_prefix('"')?;
     let mut escaped = false;
@@ -54,23 +54,23 @@
     Some(inner[..end].replace("\\\"", "\""))
 }
 
-/// It says something beside what it was about.
-fn speaks(text: &str) -> bool {
+/// Returns whether an error text has letters outside its placeholders.
+fn has_words(text: &str) -> bool {
     let said = text
         .split('{')
         .flat_map(|part| part.split_once('}').map_or([part, ""], |(_, s)| [s, ""]));
     said.flat_map(str::chars).any(char::is_alphabetic)
 }
 
-/// By package: what its errors say, and what they say can be done.
-fn in_code() -> (BTreeSet<(String, String)>, BTreeSet<String>) {
+/// Returns the error texts of the sources, each with its package, and the remedies.
+fn errors_and_remedies_in_sources() -> (BTreeSet<(String, String)>, BTreeSet<String>) {
     let (mut texts, mut remedies) = (BTreeSet::new(), BTreeSet::new());
     for (package, source) in sources() {
         let said = source
             .split("#[error(")
             .skip(1)
             .filter_map(literal)
-            .filter(|t| speaks(t));
+            .filter(|t| has_words(t));
         texts.extend(said.map(|text| (package.clone(), text)));
         for body in source.split("fn remedy(&self) -> &'static str {").skip(1) {
             let body = body.split("\n    }\n").next().unwrap_or_default();
@@ -85,8 +85,8 @@
     std::fs::read_to_string(root().join("docs/operate/errors.md")).expect("the page")
 }
 
-/// Rows of four cells: package and what it says.
-fn in_page() -> BTreeSet<(String, String)> {
+/// Returns package and error text of the rows with four cells in the page.
+fn errors_in_page() -> BTreeSet<(String, String)> {
     let rows = page();
     let rows = rows.lines().map(|l| {
         l.trim_matches('|')
@@ -100,29 +100,29 @@
 }
 
 #[test]
-fn the_page_has_what_the_packages_say_and_nothing_else() {
-    let (code, page) = (in_code().0, in_page());
+fn the_page_lists_exactly_the_errors_of_the_packages() {
+    let (code, page) = (errors_and_remedies_in_sources().0, errors_in_page());
     assert!(code.len() > 80, "{} errors were found", code.len());
     let missing: Vec<_> = code.difference(&page).collect();
     assert!(missing.is_empty(), "not in the page: {missing:#?}");
-    let gone: Vec<_> = page.difference(&code).collect();
+    let outdated: Vec<_> = page.difference(&code).collect();
     assert!(
-        gone.is_empty(),
-        "in the page, and no package says it: {gone:#?}"
+        outdated.is_empty(),
+        "in the page, but in no package: {outdated:#?}"
     );
 }
 
 #[test]
-fn the_page_has_what_can_be_done() {
-    let (remedies, page) = (in_code().1, page());
-    // A sentence outside a table may be broken into lines.
+fn the_page_lists_all_remedies() {
+    let (remedies, page) = (errors_and_remedies_in_sources().1, page());
+    // A sentence outside a table may be wrapped.
     let page = page.split_whitespace().collect::<Vec<_>>().join(" ");
     assert!(
         remedies.len() > 50,
         "{} remedies were found",
         remedies.len()
     );
-    // A cell of its own, or the end of a sentence.
+    // A remedy fills a table cell or ends a sentence.
     let has = |r: &&String| page.contains(&format!("| {r} |")) || page.contains(&format!(": {r}."));
     let missing: Vec<_> = remedies.iter().filter(|r| !has(r)).collect();
     assert!(missing.is_empty(), "not in the page: {missing:#?}");
--- a/crates/cli/tests/grpc.rs
+++ b/crates/cli/tests/grpc.rs
@@ -1,4 +1,4 @@
-//! The KServe v2 front over gRPC of a running router, before a stand-in worker.
+//! Tests the KServe v2 front over gRPC of a running router with an emulated worker.
 
 use std::convert::Infallible;
 use std::io::{Read, Write};
@@ -19,10 +19,12 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 mod running;
-use running::{Running, comes, start, start_with};
+use running::{Running, eventually, start, start_with};
 
+/// Settings of the gRPC front.
 const GRPC: &str = "protocol = \"grpc\"\nmost_streams = 200\n";
 
+/// Spawns the tasks of hyper on the executor of the test.
 #[derive(Clone)]
 struct Local(Rc<LocalExecutor<'static>>);
 
@@ -42,7 +44,7 @@
 async fn connect(local: &Local, r: &Running) -> Sender {
     let stream = Async::<TcpStream>::connect(r.address)
         .await
-        .expect("it listens");
+        .expect("the router listens");
     let mut builder = http2::Builder::new(local.clone());
     let io = FuturesIo::new(stream);
     let (sender, connection) = builder
@@ -76,39 +78,40 @@
     request.body(Full::new(body)).expect("a request")
 }
 
-/// Message, and what head and trailers say.
+/// Sends a request; returns the message, and the headers and trailers in one map.
 async fn call(sender: &mut Sender, request: Request<Full<Bytes>>) -> Option<(Bytes, HeaderMap)> {
     let answer = sender.send_request(request).await.ok()?;
-    let mut said = answer.headers().clone();
-    let whole = answer.into_body().collect().await.ok()?;
-    if let Some(trailers) = whole.trailers() {
-        said.extend(trailers.clone());
+    let mut headers = answer.headers().clone();
+    let body = answer.into_body().collect().await.ok()?;
+    if let Some(trailers) = body.trailers() {
+        headers.extend(trailers.clone());
     }
-    Some((whole.to_bytes(), said))
+    Some((body.to_bytes(), headers))
 }
 
-/// Waits for what must come about, while the connections go on.
-async fn until(what: &str, mut came: impl AsyncFnMut() -> bool) {
-    let begun = Instant::now();
-    while !came().await {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{what}");
+/// Waits until the condition holds, while the tasks of the connections keep running.
+async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let start_time = Instant::now();
+    while !holds().await {
+        assert!(start_time.elapsed() < Duration::from_secs(20), "{what}");
         Timer::after(Duration::from_millis(20)).await;
     }
 }
 
-fn said<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|v| v.to_str().ok())
         .unwrap_or("")
 }
 
-/// For what must not end by the client's time, however long a machine takes.
-const PATIENT: [(&str, &str); 2] = [
+/// Headers of requests that must not end by the client timeout, however slow the machine is.
+const LONG_TIMEOUT: [(&str, &str); 2] = [
     ("cedarpulley-trigger-type", "patient"),
     ("cedarpulley-lanes", "50"),
 ];
-const ONCE: [(&str, &str); 2] = [
+/// Headers of non-idempotent requests with the usual client timeout.
+const NON_IDEMPOTENT: [(&str, &str); 2] = [
     ("cedarpulley-trigger-type", "once"),
     ("cedarpulley-lanes", "50"),
 ];
@@ -138,7 +141,7 @@
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
 )]
-fn methods_answer_and_wrong_calls_are_named() {
+fn methods_answer_and_invalid_calls_are_rejected_with_the_cause() {
     let r = start_with("grpc-plain", Duration::from_millis(5), 64, 1, GRPC);
     run(async |local| {
         let mut s = connect(&local, &r).await;
@@ -154,11 +157,14 @@
                 .ready
         );
         // Typed and raw tensors.
-        let (body, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None)))
-            .await
-            .unwrap();
+        let (body, h) = call(
+            &mut s,
+            request(&r, "ModelInfer", &NON_IDEMPOTENT, ask(None)),
+        )
+        .await
+        .unwrap();
         assert_eq!(
-            (said(&h, "grpc-status"), said(&h, "cedarpulley-fate")),
+            (header(&h, "grpc-status"), header(&h, "cedarpulley-fate")),
             ("0", "succeeded"),
             "{h:?}"
         );
@@ -170,11 +176,16 @@
         );
         let (body, h) = call(
             &mut s,
-            request(&r, "ModelInfer", &ONCE, ask(Some(&[1, 2, 3, 255]))),
+            request(
+                &r,
+                "ModelInfer",
+                &NON_IDEMPOTENT,
+                ask(Some(&[1, 2, 3, 255])),
+            ),
         )
         .await
         .unwrap();
-        assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
+        assert_eq!(header(&h, "grpc-status"), "0", "{h:?}");
         let answer = ModelInferResponse::decode(unframe(body).unwrap()).unwrap();
         assert_eq!(
             answer.raw_output_contents,
@@ -203,7 +214,7 @@
                 .versions,
             ["3"]
         );
-        // What is wrong is named, and nothing of it reaches a worker.
+        // Invalid requests are rejected with the cause, and none of them reaches a worker.
         let before = r.received();
         let long = Bytes::from([&[0, 0, 0, 0, 1], [7u8; 9].as_slice()].concat());
         let packed = Bytes::from_static(&[1, 0, 0, 0, 1, 7]);
@@ -215,20 +226,24 @@
                 "'no' is unknown",
             ),
             (
-                &[ONCE[0], ("grpc-timeout", "5x")],
+                &[NON_IDEMPOTENT[0], ("grpc-timeout", "5x")],
                 ask(None),
                 "grpc-timeout",
             ),
-            (&ONCE, long, "too large"),
-            (&ONCE, packed, "compressed"),
+            (&NON_IDEMPOTENT, long, "too large"),
+            (&NON_IDEMPOTENT, packed, "compressed"),
             (
-                &ONCE,
+                &NON_IDEMPOTENT,
                 Bytes::from_static(&[0, 0, 0, 0, 1, 255]),
                 "cannot be read",
             ),
-            (&ONCE, frame(&ModelInferRequest::default()), "model_name"),
             (
-                &ONCE,
+                &NON_IDEMPOTENT,
+                frame(&ModelInferRequest::default()),
+                "model_name",
+            ),
+            (
+                &NON_IDEMPOTENT,
                 Bytes::from_static(&[0, 255, 255, 255, 255, 0]),
                 "larger",
             ),
@@ -236,45 +251,57 @@
             let (_, h) = call(&mut s, request(&r, "ModelInfer", headers, body))
                 .await
                 .unwrap();
-            assert_eq!(said(&h, "grpc-status"), "3", "{h:?}");
-            assert!(said(&h, "grpc-message").contains(cause), "{h:?}");
+            assert_eq!(header(&h, "grpc-status"), "3", "{h:?}");
+            assert!(header(&h, "grpc-message").contains(cause), "{h:?}");
         }
-        let (_, h) = call(&mut s, request(&r, "ModelStream", &ONCE, ask(None)))
-            .await
-            .unwrap();
-        assert_eq!(said(&h, "grpc-status"), "12");
+        let (_, h) = call(
+            &mut s,
+            request(&r, "ModelStream", &NON_IDEMPOTENT, ask(None)),
+        )
+        .await
+        .unwrap();
+        assert_eq!(header(&h, "grpc-status"), "12");
         assert_eq!(r.received(), before);
     });
 }
 
-/// Throttled is harmless and says when to come back; what was out as the client's time ended may have run.
+/// An expired request was certainly not executed and ends as throttled; an invocation that was dispatched when its client
+/// timeout ended may have run and ends as errored, without a hint to retry.
 #[test]
-fn harmless_ends_and_others_are_told_apart() {
+fn expired_and_possibly_executed_requests_are_distinguished() {
     let r = start_with("grpc-fates", Duration::from_millis(1500), 64, 1, GRPC);
     run(async |local| {
         let mut s = connect(&local, &r).await;
-        let late = [ONCE[0], ONCE[1], ("cedarpulley-sent-at-us", "1000")];
+        let late = [
+            NON_IDEMPOTENT[0],
+            NON_IDEMPOTENT[1],
+            ("cedarpulley-sent-at-us", "1000"),
+        ];
         let (_, h) = call(&mut s, request(&r, "ModelInfer", &late, ask(None)))
             .await
             .unwrap();
         assert_eq!(
-            (said(&h, "grpc-status"), said(&h, "cedarpulley-reason")),
+            (header(&h, "grpc-status"), header(&h, "cedarpulley-reason")),
             ("8", "expired"),
             "{h:?}"
         );
-        let short = [ONCE[0], ONCE[1], ("grpc-timeout", "600m")];
+        let short = [
+            NON_IDEMPOTENT[0],
+            NON_IDEMPOTENT[1],
+            ("grpc-timeout", "600m"),
+        ];
         let (_, h) = call(&mut s, request(&r, "ModelInfer", &short, ask(None)))
             .await
             .unwrap();
-        assert_eq!(said(&h, "cedarpulley-fate"), "errored", "{h:?}");
-        assert!(["2", "4"].contains(&said(&h, "grpc-status")), "{h:?}");
+        assert_eq!(header(&h, "cedarpulley-fate"), "errored", "{h:?}");
+        assert!(["2", "4"].contains(&header(&h, "grpc-status")), "{h:?}");
         assert!(h.get("grpc-retry-pushback-ms").is_none());
     });
 }
 
-/// A client that resets its streams as fast as it can: what it dispatches is bounded, and others are served.
+/// A client resets its streams as fast as it can: the number of its dispatches is bounded, and other clients are served.
 #[test]
-fn a_storm_of_resets_costs_little_and_others_are_served() {
+fn stream_resets_cause_few_dispatches_and_others_are_served() {
     let r = start_with("grpc-resets", Duration::from_millis(400), 64, 1, GRPC);
     run(async |local| {
         let mut s = connect(&local, &r).await;
@@ -283,8 +310,8 @@
             if s.ready().await.is_err() {
                 s = connect(&local, &r).await;
             }
-            // Polled once, it has been sent; dropped, it is reset.
-            let sent = s.send_request(request(&r, "ModelInfer", &ONCE, ask(None)));
+            // After the first poll the request is sent; dropping the future resets the stream.
+            let sent = s.send_request(request(&r, "ModelInfer", &NON_IDEMPOTENT, ask(None)));
             let now = async {
                 Timer::after(Duration::from_millis(3)).await;
                 None
@@ -293,10 +320,13 @@
             reset += usize::from(done.is_none());
         }
         let mut other = connect(&local, &r).await;
-        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None)))
-            .await
-            .unwrap();
-        assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
+        let (_, h) = call(
+            &mut other,
+            request(&r, "ModelInfer", &NON_IDEMPOTENT, ask(None)),
+        )
+        .await
+        .unwrap();
+        assert_eq!(header(&h, "grpc-status"), "0", "{h:?}");
         let received = r.received();
         println!("{reset} resets, {received} dispatches");
         assert!(
@@ -306,27 +336,33 @@
     });
 }
 
-/// One connection's many streams: beyond its bound they wait, and all that are taken are answered.
+/// During shutdown the connection accepts no further streams, and all accepted streams are answered.
 #[test]
-fn stopping_says_so_and_answers_all_streams() {
+fn shutdown_rejects_new_streams_and_answers_accepted_ones() {
     let mut r = start_with("grpc-stop", Duration::from_secs(3), 64, 1, GRPC);
     run(async |local| {
         let s = connect(&local, &r).await;
         let calls: Vec<_> = (0..20)
             .map(|_| {
-                let (mut s, request) = (s.clone(), request(&r, "ModelInfer", &PATIENT, ask(None)));
+                let (mut s, request) = (
+                    s.clone(),
+                    request(&r, "ModelInfer", &LONG_TIMEOUT, ask(None)),
+                );
                 local.0.spawn(async move { call(&mut s, request).await })
             })
             .collect();
-        until("all are taken", async || r.received() == 20).await;
-        r.told_to_stop();
-        // As soon as the connection has been told to go away, nothing new begins on it.
+        until("all requests are accepted", async || r.received() == 20).await;
+        r.request_stop();
+        // After GOAWAY no new stream starts on the connection.
         let late = async || {
             let mut late = s.clone();
             let refused = async {
-                call(&mut late, request(&r, "ModelInfer", &PATIENT, ask(None)))
-                    .await
-                    .is_none()
+                call(
+                    &mut late,
+                    request(&r, "ModelInfer", &LONG_TIMEOUT, ask(None)),
+                )
+                .await
+                .is_none()
             };
             let taken = async {
                 Timer::after(Duration::from_millis(100)).await;
@@ -334,28 +370,28 @@
             };
             futures_lite::FutureExt::or(refused, taken).await
         };
-        until("it takes nothing new", late).await;
-        // Not only because all was answered and it has ended.
+        until("the connection accepts no new streams", late).await;
+        // The rejection must come before all requests are answered and the connection has ended.
         assert!(
             calls.iter().any(|c| !c.is_finished()),
-            "it refused only after its work was done"
+            "the router rejected requests only after its work was done"
         );
         for answer in calls {
             let (_, h) = answer.await.expect("answered");
-            assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
+            assert_eq!(header(&h, "grpc-status"), "0", "{h:?}");
         }
     });
-    assert!(r.ended_well());
+    assert!(r.exits_successfully());
 }
 
-/// Bodies that come byte by byte hold a stream each, and nobody else up.
+/// Bodies that arrive byte by byte each occupy a stream, and do not delay other clients.
 #[test]
-fn slow_bytes_hold_nobody_up() {
+fn slow_bodies_delay_no_other_client() {
     let r = start_with("grpc-slow", Duration::from_millis(5), 64, 1, GRPC);
     run(async |local| {
         let stream = Async::<TcpStream>::connect(r.address)
             .await
-            .expect("it listens");
+            .expect("the router listens");
         let io = FuturesIo::new(stream);
         let (s, connection) = http2::handshake(local.clone(), io).await.expect("HTTP/2");
         local
@@ -371,7 +407,7 @@
                         n,
                     ))
                 });
-                let request = request(&r, "ModelInfer", &ONCE, Bytes::new());
+                let request = request(&r, "ModelInfer", &NON_IDEMPOTENT, Bytes::new());
                 let request = request.map(|_| StreamBody::new(Box::pin(bytes)));
                 let mut s = s.clone();
                 local
@@ -381,29 +417,32 @@
             .collect();
         Timer::after(Duration::from_millis(300)).await;
         let mut other = connect(&local, &r).await;
-        let (_, h) = call(&mut other, request(&r, "ModelInfer", &ONCE, ask(None)))
-            .await
-            .unwrap();
-        assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
+        let (_, h) = call(
+            &mut other,
+            request(&r, "ModelInfer", &NON_IDEMPOTENT, ask(None)),
+        )
+        .await
+        .unwrap();
+        assert_eq!(header(&h, "grpc-status"), "0", "{h:?}");
         drop(slow);
     });
 }
 
-/// Whatever comes instead of HTTP/2, the router goes on.
+/// Input that is not HTTP/2 closes only its own connection.
 #[test]
-fn garbage_closes_its_connection_alone() {
+fn invalid_input_closes_only_its_connection() {
     let r = start_with("grpc-garbage", Duration::from_millis(5), 64, 1, GRPC);
     let preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     let floods: [&[u8]; 4] = [
         b"GET / HTTP/1.1\r\n\r\n",
         &[0xff; 4096],
-        // A frame longer than any may be; headers without end.
+        // A frame above the maximum length; endless headers.
         &[0xff, 0xff, 0xff, 0, 0, 0, 0, 0, 1],
         &[0, 0, 0, 1, 0, 0, 0, 0, 1, 0, 0, 0, 9, 0, 0, 0, 0, 2],
     ];
     for flood in floods {
         for before in [&b""[..], preface] {
-            let mut stream = TcpStream::connect(r.address).expect("it listens");
+            let mut stream = TcpStream::connect(r.address).expect("the router listens");
             stream
                 .set_read_timeout(Some(Duration::from_secs(5)))
                 .expect("set");
@@ -417,18 +456,22 @@
     }
     run(async |local| {
         let mut s = connect(&local, &r).await;
-        let (_, h) = call(&mut s, request(&r, "ModelInfer", &ONCE, ask(None)))
-            .await
-            .unwrap();
-        assert_eq!(said(&h, "grpc-status"), "0", "{h:?}");
+        let (_, h) = call(
+            &mut s,
+            request(&r, "ModelInfer", &NON_IDEMPOTENT, ask(None)),
+        )
+        .await
+        .unwrap();
+        assert_eq!(header(&h, "grpc-status"), "0", "{h:?}");
     });
-    // Over REST the same router type does the same.
+    // The front over REST also survives this input.
     let plain = start("grpc-garbage-rest", Duration::from_millis(5));
     for flood in floods {
-        let mut stream = TcpStream::connect(plain.address).expect("it listens");
+        let mut stream = TcpStream::connect(plain.address).expect("the router listens");
         let _ = stream.write_all(flood);
     }
-    assert!(comes(
-        || plain.ask("GET", "/v2/health/live", "", b"").0 == 200
-    ));
+    assert!(eventually(|| plain
+        .ask("GET", "/v2/health/live", "", b"")
+        .0
+        == 200));
 }
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! `cedarpulley node` over real sockets, against a small scripted worker, command channel and clients: rules
+//! Runs `cedarpulley node` over real sockets with a scripted worker, a command channel and clients. The tests check rules
 //! and counts, never times.
 
 use std::io::{BufReader, Read, Write};
@@ -15,7 +15,7 @@
 use platform::*;
 
 #[test]
-fn calm_traffic_is_served_once_each_also_sent_ahead() {
+fn each_request_is_served_once_also_when_pipelined() {
     let w = World::new(1);
     let stream = w.connect();
     let mut answers = BufReader::new(stream.try_clone().expect("clone"));
@@ -39,9 +39,10 @@
     drop(seen);
 }
 
-/// Fleet test: orders for copies that stood already were two in three of all that 300 routers sent.
+/// Guards against unnecessary load orders. In a test with 300 routers, two thirds of all load orders were for copies that
+/// were already loaded.
 #[test]
-fn where_workers_load_on_a_miss_the_first_call_needs_no_order() {
+fn a_first_call_needs_no_load_order_if_workers_load_on_a_miss() {
     let w = World::with(14, |c| c.replace("\"miss\"", "\"load\""));
     let a = w
         .ask(&call(&id(1), "plain", GOOD, "", "first"))
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn rude_clients_get_a_refusal_and_nothing_of_theirs_reaches_a_worker() {
+fn invalid_requests_are_rejected_and_reach_no_worker() {
     let w = World::new(2);
     let rude = [
         call(
@@ -76,7 +77,8 @@
             .unwrap_or_else(|| panic!("no answer to {}", &text[..text.len().min(200)]));
         assert!((400..500).contains(&a.0) && a.0 != 429, "{a:?}");
     }
-    // A large body is refused by its head, and the refusal is not lost while the rest is still being sent.
+    // A body that is too large is rejected as soon as its head is read, and the rejection is not lost while the client
+    // still sends the body.
     let mut stream = w.connect();
     let head =
         call(&id(6), "plain", GOOD, "", "").replace("Content-Length: 0", "Content-Length: 8000000");
@@ -88,7 +90,8 @@
         413
     );
     let _ = sending.join();
-    // Silent ones are closed by the router; half a request is refused first, as its rest may be on its way.
+    // The router closes connections on which nothing arrives. It rejects a partly received request before that, because
+    // the remainder may be in transit.
     for (text, refusals) in [("", 0), ("POST /api/v2/00000000000000a0/call HT", 1)] {
         let mut stream = w.connect();
         stream.write_all(text.as_bytes()).expect("sent");
@@ -105,10 +108,10 @@
     assert!(w.seen.lock().expect("seen").calls.is_empty());
 }
 
-/// Symptom: a refusal is kept for a while so that it is read, and its descriptor is not free for the next
-/// client.
+/// Guards against a lack of file descriptors for further clients: a rejected connection stays open for some time so that
+/// the client can read the rejection.
 #[test]
-fn hundreds_that_are_silent_or_refused_leave_room_for_others() {
+fn hundreds_of_silent_or_rejected_clients_leave_room_for_others() {
     let w = World::with(3, |c| c.replace("\"sockets\":256", "\"sockets\":128"));
     for (n, text) in [(1, ""), (2, "GARBAGE\r\n\r\n")] {
         let mut kept = Vec::new();
@@ -137,13 +140,15 @@
 }
 
 #[test]
-fn an_open_id_is_refused_to_a_second_and_the_first_unharmed() {
+fn a_duplicate_of_an_open_id_is_rejected_and_the_first_call_succeeds() {
     let w = World::new(4);
     let mut first = w.connect();
     first
         .write_all(call(&id(1), "once", KEPT, "", "mine").as_bytes())
         .expect("sent");
-    w.until("the first is out", |w| w.calls(&id(1)) == 1);
+    w.until("the first invocation is dispatched", |w| {
+        w.calls(&id(1)) == 1
+    });
     assert_eq!(
         w.ask(&call(&id(1), "once", GOOD, "", "not mine"))
             .expect("an answer")
@@ -157,21 +162,21 @@
 }
 
 #[test]
-fn spoilt_answers_harm_only_their_own() {
-    // What must not run twice and may have run is dispatched once and answered with an error. A fresh router
-    // each, as the module passes over a worker that spoilt its last answer.
+fn invalid_answers_affect_only_their_invocation() {
+    // A non-idempotent invocation that may have run is dispatched once and answered with an error. Each case has a new
+    // router, because the balancer avoids a worker whose last answer was invalid.
     for (n, function) in [(2, NOISE), (3, HUGE), (4, HALF)] {
         let w = World::new(10 + n as u16);
-        // Good, with more beside it that is not its own.
+        // A valid answer, together with answers that do not belong to the invocation.
         let a = w
             .ask(&call(&id(1), "plain", TWICE, "", "one"))
             .expect("an answer");
         assert_eq!((a.0, a.2), (200, b"one".to_vec()));
-        // Out at the same time as a spoilt one, a good one comes through.
+        // A valid answer is delivered although an invalid one is received for a concurrent invocation.
         let mut slow = w.connect();
         slow.write_all(call(&id(5), "once", KEPT, "", "kept").as_bytes())
             .expect("sent");
-        w.until("it is out", |w| w.calls(&id(5)) == 1);
+        w.until("the invocation is dispatched", |w| w.calls(&id(5)) == 1);
         let a = w
             .ask(&call(&id(n), "once", function, "", "x"))
             .expect("an answer");
@@ -185,32 +190,33 @@
     }
 }
 
-/// Fleet test, join: routers ended in a panic when the telling of one client's leaving answered another. The
-/// router asserts, built for tests, that no book is open then.
+/// Guards against a panic that stopped routers in a test in which many processes joined: the notification that one client
+/// had disconnected caused the answer to another client. Test builds of the router assert that no collection is borrowed
+/// at that time.
 #[test]
-fn a_client_that_leaves_has_its_dispatch_called_back() {
+fn the_dispatch_of_a_disconnected_client_is_cancelled() {
     let w = World::new(6);
     for (n, resets) in [(1, false), (2, true)] {
         let mut stream = w.connect();
         stream
             .write_all(call(&id(n), "plain", KEPT, "", "x").as_bytes())
             .expect("sent");
-        w.until("it is out", |w| w.calls(&id(n)) == 1);
+        w.until("the invocation is dispatched", |w| w.calls(&id(n)) == 1);
         let linger = resets.then_some(Duration::ZERO);
         socket2::SockRef::from(&stream)
             .set_linger(linger)
             .expect("set");
         drop(stream);
-        w.until("it is called back", |w| {
+        w.until("the dispatch is cancelled", |w| {
             w.seen.lock().expect("seen").killed.contains(&id(n))
         });
     }
 }
 
-/// Symptom: a client says that it sends nothing more while its answer lies unread at the router, which finds the
-/// client's end first and calls the dispatch back.
+/// Guards against a lost answer: a client half-closes its connection while the worker's answer is unread at the router,
+/// and the router processes the half-close first and cancels the dispatch.
 #[test]
-fn an_answer_that_lies_unread_is_written_to_a_client_that_sends_no_more() {
+fn an_unread_answer_is_delivered_to_a_half_closed_client() {
     for answered_first in [false, true] {
         let w = World::new(15);
         let mut stream = w.connect();
@@ -218,12 +224,12 @@
         stream
             .write_all(call(&id(1), "once", KEPT, "", "x").as_bytes())
             .expect("sent");
-        w.until("it is out", |w| w.calls(&id(1)) == 1);
+        w.until("the invocation is dispatched", |w| w.calls(&id(1)) == 1);
         w.turns();
         w.halt();
         let answers = |w: &World| {
             w.free(&id(1));
-            w.until("it lies there", |w| {
+            w.until("the answer is in the receive buffer", |w| {
                 rows(None, Some(w.workers)).iter().any(|r| r.rx_queue > 0)
             });
         };
@@ -231,7 +237,7 @@
             answers(&w);
         }
         stream.shutdown(Shutdown::Write).expect("shut");
-        w.until("its end is there", |w| {
+        w.until("the FIN of the client is received", |w| {
             rows(Some(w.address), Some(client))
                 .iter()
                 .any(|r| r.state == CloseWait)
@@ -247,9 +253,9 @@
     }
 }
 
-/// Its client's time runs from its last byte, also while it waits behind another.
+/// The client timeout of a request counts from its last byte, also while the request waits behind another one.
 #[test]
-fn what_waits_behind_another_counts_its_time() {
+fn the_timeout_of_a_pipelined_request_counts_while_it_waits() {
     let quick = |c: String| {
         c.replace(":2000000000,", ":1000000,")
             .replace(":8000000000,", ":400000000,")
@@ -260,7 +266,9 @@
     let brief = call(&id(2), "plain", GOOD, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 300");
     let both = call(&id(1), "once", KEPT, "", "x") + &brief;
     (&stream).write_all(both.as_bytes()).expect("sent");
-    w.until("the first is out", |w| w.calls(&id(1)) == 1);
+    w.until("the first invocation is dispatched", |w| {
+        w.calls(&id(1)) == 1
+    });
     w.turns();
     thread::sleep(Duration::from_millis(400));
     w.free(&id(1));
@@ -271,41 +279,41 @@
     );
 }
 
-/// No answer would be a lost invocation.
+/// Without an answer the invocation would be lost.
 #[test]
-fn what_no_worker_answers_is_answered_in_its_time() {
+fn an_invocation_without_a_worker_answer_ends_at_its_timeout() {
     let w = World::new(17);
     let text = call(&id(1), "once", KEPT, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 4000");
     assert_eq!(w.ask(&text).expect("an answer").0, 500);
-    w.until("it is called back", |w| {
+    w.until("the dispatch is cancelled", |w| {
         w.seen.lock().expect("seen").killed.contains(&id(1))
     });
 }
 
-/// Symptom: connecting takes longer than the grace of a worker that drains meanwhile, and what waits for the
-/// connection leaves for it all the same.
+/// Guards against a dispatch after the drain grace: establishing a connection takes longer than the drain grace of a
+/// worker that drains in the meantime, and the invocations that wait for the connection are sent nevertheless.
 #[test]
-fn nothing_leaves_for_a_worker_past_its_grace_however_late_the_connection() {
+fn nothing_is_sent_after_the_drain_grace_on_a_late_connection() {
     for absent in ["\"load\"", "\"miss\""] {
         let patient = |c: String| {
             c.replace("\"miss\"", absent)
                 .replace("250000000", "30000000000")
         };
         let (w, at, seen) = (World::with(18, patient), own(18), Shared::default());
-        // It has room for one connection, and takes none: the next one comes up once that is taken.
+        // The backlog is full with one connection that is not accepted; the next connection is established after that.
         let (listener, _first) = full_listener(at);
         w.tell(2, "s-2", at, "active");
         w.tell(3, "s-1", w.workers, "left");
         let mut stream = w.connect();
         let text = call(&id(1), "plain", GOOD, "", "x").replace("Wait-Ms: 60000", "Wait-Ms: 12000");
         stream.write_all(text.as_bytes()).expect("sent");
-        w.until("it connects", |_| {
+        w.until("the router connects", |_| {
             rows(None, Some(at)).iter().any(|r| r.state == SynSent)
         });
         w.tell(4, "s-2", at, "leaving");
         thread::sleep(Duration::from_millis(600));
         worker(listener, seen.clone());
-        w.until("it is connected", |_| {
+        w.until("the connection is established", |_| {
             seen.lock().expect("seen").connections == 2
         });
         assert_eq!(
@@ -317,12 +325,12 @@
     }
 }
 
-/// Symptom: the channel stops and stays open.
+/// Guards against a router that waits for ever on a channel that stops answering and keeps its connection open.
 #[test]
-fn a_channel_that_falls_silent_is_asked_anew() {
+fn a_silent_channel_is_polled_again() {
     let w = World::new(19);
     w.channel.lock().expect("channel").silent = true;
-    w.until("it is silent", |w| {
+    w.until("the channel is silent", |w| {
         !w.channel.lock().expect("channel").silent
     });
     w.channel
@@ -330,14 +338,15 @@
         .expect("channel")
         .events
         .push(event(2, w.workers, "s-1", "leaving"));
-    w.until("the change is told", |w| {
+    w.until("the router has received the change", |w| {
         w.channel.lock().expect("channel").asked.contains(&2)
     });
 }
 
-/// Symptom: a worker drains while the channel is away; that was told then, not when it is heard at last.
+/// A worker begins to drain while the channel does not answer. The drain grace counts from when the drain was announced,
+/// not from when the router receives the announcement.
 #[test]
-fn a_drain_heard_late_has_no_grace_left() {
+fn a_drain_received_late_has_no_grace_left() {
     let patient = |c: String| {
         c.replace(
             "\"stopSendingWithin\":500000000",
@@ -357,7 +366,7 @@
         w.tell(2, "s-2", other, "active");
         if late {
             w.channel.lock().expect("channel").silent = true;
-            w.until("it is silent", |w| {
+            w.until("the channel is silent", |w| {
                 !w.channel.lock().expect("channel").silent
             });
         }
@@ -373,11 +382,11 @@
     }
 }
 
-/// Symptom: a worker reads nothing, what is sent to it finds no room, and the router went round and round at that
-/// connection for as long as it was so, with all else at a standstill.
+/// Guards against a busy loop: a worker does not read, so the send buffer of its connection is full, and the router
+/// retried that connection in a loop and did no other work.
 #[test]
-fn a_worker_that_reads_nothing_holds_up_nobody() {
-    // One connection for all that is out; small segments, so that its buffers are small.
+fn a_worker_that_does_not_read_delays_no_other_work() {
+    // One connection for all dispatches; small segments, so that its buffers are small.
     let shared = |c: String| {
         c.replace("\"sockets\":256", "\"sockets\":66")
             .replace("\"miss\"", "\"load\"")
@@ -397,7 +406,7 @@
             .events
             .push(event(n, at, id, state));
     }
-    w.until("it is told", |w| {
+    w.until("the router has received the event", |w| {
         w.channel.lock().expect("channel").asked.contains(&3)
     });
     let send = |n, body: &str| {
@@ -406,9 +415,9 @@
         stream.write_all(text.as_bytes()).expect("sent");
         stream
     };
-    // It answers one, and reads nothing more.
+    // The worker answers one call and reads nothing more.
     let first = send(1, "");
-    let (mut to, _) = listener.accept().expect("it comes");
+    let (mut to, _) = listener.accept().expect("the router connects");
     let mut line = [0; 256];
     assert!(to.read(&mut line).expect("read") > 0);
     to.write_all(format!("{} ok - 0\r\n\r\n", id(1)).as_bytes())
@@ -420,7 +429,7 @@
     let body = "x".repeat(16 << 10);
     let _kept: Vec<TcpStream> = (2..12).map(|n| send(n, &body)).collect();
     let mut waits = (0, 0);
-    w.until("no more finds room", |_| {
+    w.until("the send buffer is full", |_| {
         let most = rows(None, Some(at))
             .iter()
             .map(|r| r.tx_queue)
@@ -439,15 +448,16 @@
     w.turns();
 }
 
-/// Symptom: a connection that is closed without a word counts as a refusal at best, and beyond one in 200 as lost.
+/// Guards against connections that are closed without an answer. Such a connection counts as a rejection at best, and as
+/// lost if there is more than one in 200.
 #[test]
-fn whoever_comes_while_all_are_owed_an_answer_is_refused_in_words() {
+fn a_client_above_the_connection_limit_gets_an_explicit_rejection() {
     let w = World::with(24, |c| c.replace("\"sockets\":256", "\"sockets\":4"));
     let open = [1, 2].map(|n| {
         let mut stream = w.connect();
         let text = call(&id(n), "once", KEPT, "X-Extras: lanes:8\r\n", "x");
         stream.write_all(text.as_bytes()).expect("sent");
-        w.until("it is out", |w| w.calls(&id(n)) == 1);
+        w.until("the invocation is dispatched", |w| w.calls(&id(n)) == 1);
         stream
     });
     assert_eq!(
@@ -470,12 +480,12 @@
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
 )]
-fn the_channel_breaks_moves_and_goes_on_where_it_was() {
+fn discovery_resumes_after_a_broken_answer_and_a_move_of_the_channel() {
     let w = World::new(7);
     let second = Shared::default();
     let address = own(7);
     worker(TcpListener::bind(address).expect("bind"), second.clone());
-    // The event breaks off in the middle and comes again.
+    // The connection closes within an event, and the event is sent again.
     w.channel.lock().expect("channel").breaks = true;
     w.channel
         .lock()
@@ -487,7 +497,7 @@
         .expect("channel")
         .events
         .push(event(3, address, "s-2", "active"));
-    w.until("the change is told", |w| {
+    w.until("the router has received the change", |w| {
         w.channel.lock().expect("channel").asked.contains(&3)
     });
     assert_eq!(
@@ -500,7 +510,7 @@
         (w.calls(&id(1)), second.lock().expect("seen").calls.len()),
         (0, 1)
     );
-    // The configuration names another channel: the numbers go on there.
+    // The configuration names another channel, which continues the event numbers.
     let moved = Arc::new(Mutex::new(Channel::default()));
     moved.lock().expect("channel").events = w.channel.lock().expect("channel").events.clone();
     let to = own(7);
@@ -517,10 +527,10 @@
     let old = format!(r#""channel":"{}""#, w.first_channel);
     std::fs::write(&w.file, text.replace(&old, &format!(r#""channel":"{to}""#))).expect("written");
     w.signal(Signal::HUP);
-    w.until("the new channel is asked", |_| {
+    w.until("the router polls the new channel", |_| {
         moved.lock().expect("channel").asked.first() == Some(&3)
     });
-    // A new worker at the address of one that has gone is another worker.
+    // A new worker at the address of one that has left is a different worker.
     moved
         .lock()
         .expect("channel")
@@ -531,7 +541,7 @@
         .expect("channel")
         .events
         .push(event(5, address, "s-3", "active"));
-    w.until("it is told", |_| {
+    w.until("the router has received the event", |_| {
         moved.lock().expect("channel").asked.contains(&5)
     });
     let before = second.lock().expect("seen").connections;
@@ -548,18 +558,19 @@
 }
 
 #[test]
-fn an_order_to_stop_leaves_nothing_unanswered() {
+fn shutdown_leaves_no_request_unanswered() {
     let mut w = World::new(8);
     let (mut first, mut open) = (w.connect(), w.connect());
     first
         .write_all(call(&id(1), "once", KEPT, "", "x").as_bytes())
         .expect("sent");
-    w.until("it is out", |w| w.calls(&id(1)) == 1);
+    w.until("the invocation is dispatched", |w| w.calls(&id(1)) == 1);
     open.write_all(b"GET /-/healthy HTTP/1.1\r\n\r\n")
         .expect("sent");
     let mut answers = BufReader::new(open.try_clone().expect("clone"));
     assert_eq!(answer(&mut answers).expect("an answer").0, 200);
-    // What crosses the order is served still, on open connections and new ones, and told that they close.
+    // Requests sent at the same time as SIGTERM are still served, on open and on new connections, and the answers announce
+    // that the connections close.
     w.halt();
     w.signal(Signal::TERM);
     let mut new = w.connect();
@@ -572,7 +583,7 @@
         let a = answer(&mut answers).expect("an answer");
         assert_eq!((a.0, a.1.contains("Connection: close")), (200, true));
     }
-    // Then idle connections close, and what comes all the same is refused.
+    // Then idle connections are closed, and further requests are rejected.
     assert_eq!(w.connect().read(&mut [0; 16]).expect("closed"), 0);
     assert_eq!(
         w.ask(&call(&id(4), "plain", GOOD, "", "late"))
@@ -581,15 +592,15 @@
         503
     );
     assert_eq!(w.calls(&id(4)), 0);
-    // Long enough for it to leave, did it not owe the first its answer.
+    // Long enough for the router to exit, if the first request were not unanswered.
     thread::sleep(Duration::from_millis(300));
     w.free(&id(1));
     let a = answer(&mut BufReader::new(first)).expect("an answer");
     assert_eq!((a.0, a.1.contains("Connection: close")), (200, true));
     assert!(w.node.wait().expect("ended").success());
-    // It starts again from nothing on the same address at once.
+    // A router without state can start on the same address at once.
     w.node = start(&w.file, &w.folder, w.address);
-    w.until("it serves again", |w| {
+    w.until("the router serves requests again", |w| {
         w.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
             .is_some_and(|a| a.0 == 200)
     });
@@ -601,12 +612,14 @@
     );
 }
 
-/// Symptom: the router's process is held up while it stops, until past the time in which it takes requests. What
-/// was sent meanwhile is taken, though it lies unread as the router finds that it may leave.
+/// Guards against unanswered requests at exit: the router process is suspended during shutdown until after the time in
+/// which it accepts requests. Requests sent in the meantime are accepted, although they are unread when the router finds
+/// that it may exit.
 #[test]
-fn what_lies_unread_when_a_router_may_leave_is_answered() {
-    const TAKES: Duration = Duration::from_millis(700);
-    // On a machine too slow to halt it in time, once more.
+fn unread_requests_are_answered_before_the_router_exits() {
+    /// Time after SIGTERM for which the router accepts requests.
+    const STILL_ACCEPTS: Duration = Duration::from_millis(700);
+    // If the machine was too slow to suspend the router in time, the test tries again.
     for _ in 0..10 {
         let mut w = World::new(20);
         let mut open = w.connect();
@@ -620,7 +633,7 @@
             w.ask("GET /-/healthy HTTP/1.1\r\n\r\n")
                 .is_none_or(|a| a.0 == 503)
         };
-        w.until("it stops", stops);
+        w.until("the router shuts down", stops);
         w.signal(Signal::STOP);
         let new = TcpStream::connect(w.address);
         let text = |n| call(&id(n), "plain", GOOD, "", "x");
@@ -629,10 +642,10 @@
             open.write_all(text(1).as_bytes())?;
             new.write_all(text(2).as_bytes()).map(|()| new)
         });
-        let in_time = began.elapsed() < TAKES;
+        let in_time = began.elapsed() < STILL_ACCEPTS;
         if in_time {
             w.halt();
-            thread::sleep(TAKES);
+            thread::sleep(STILL_ACCEPTS);
         }
         w.goes_on();
         if in_time {
@@ -648,9 +661,9 @@
     panic!("the machine is too slow");
 }
 
-/// Whatever else the program can do stays off here: one process, one listener, nothing on disk.
+/// The other features of the program stay off in this command: one process, one listener, no files.
 #[test]
-fn it_listens_at_its_own_address_alone_and_keeps_no_file() {
+fn the_router_listens_only_at_its_address_and_writes_no_file() {
     let mut w = World::new(21);
     assert_eq!(
         w.ask(&call(&id(1), "plain", GOOD, "", "x"))
@@ -662,9 +675,9 @@
     let mut open = w.connect();
     open.write_all(call(&id(2), "plain", KEPT, "", "x").as_bytes())
         .expect("sent");
-    w.until("it is out", |w| w.calls(&id(2)) == 1);
+    w.until("the invocation is dispatched", |w| w.calls(&id(2)) == 1);
     let of = |what: &str| format!("/proc/{}/{what}", w.node.id());
-    // Its log goes where whoever starts it wants.
+    // The log goes to the descriptors that the parent process provides.
     let fds = std::fs::read_dir(of("fd"))
         .expect("listed")
         .flatten()
@@ -678,7 +691,7 @@
         .filter(|f| f.starts_with('/') && *f != "/dev/null")
         .collect();
     assert!(files.is_empty(), "{files:?}");
-    // This process's rows of a table of sockets, which names a socket in this column.
+    // The rows of a system socket table that belong to the router; `column` holds the inode of the socket.
     let own = |table: &str, column: usize| -> Vec<Vec<String>> {
         let text = std::fs::read_to_string(of(&format!("net/{table}"))).unwrap_or_default();
         let rows = text
@@ -696,14 +709,14 @@
     assert!(
         listening.len() == 1 && listening[0][1].ends_with(&format!(":{:04X}", w.address.port()))
     );
-    // A client's, one to the worker, one to the channel.
+    // One connection from a client, one to the worker and one to the channel.
     assert!(others.len() >= 3, "{others:?}");
     assert!(
         ["tcp6", "udp", "udp6", "raw", "packet"]
             .iter()
             .all(|table| own(table, 9).is_empty())
     );
-    // A pair without a name wakes it for signals.
+    // An unnamed socket pair wakes the router for signals.
     assert!(own("unix", 6).iter().all(|row| row.len() == 7));
     let children =
         std::fs::read_to_string(of(&format!("task/{}/children", w.node.id()))).expect("a list");
@@ -716,9 +729,9 @@
     w.node = start(&w.file, &w.folder, w.address);
 }
 
-/// What routers of a group share is not built into the platform's.
+/// The packages for groups of routers are not dependencies of the packages behind `cedarpulley node`.
 #[test]
-fn it_rests_on_no_package_of_a_group() {
+fn the_node_packages_do_not_depend_on_group_packages() {
     let tree = |of: &str| {
         let args = [
             "tree",
@@ -763,7 +776,7 @@
 }
 
 #[test]
-fn a_bad_start_is_one_line_with_the_cause() {
+fn a_failed_start_prints_one_line_with_the_cause() {
     let run = |config: Option<&str>, listen: &str| {
         let mut it = Command::new(env!("CARGO_BIN_EXE_cedarpulley"));
         it.arg("node")
--- a/crates/cli/tests/node_bad_input.rs
+++ b/crates/cli/tests/node_bad_input.rs
@@ -1,5 +1,5 @@
-//! Storms of bad input: each is answered as decided, harms nobody else, and leaves no descriptor, no buffer and no owed
-//! answer behind.
+//! Sends bursts of invalid input to `cedarpulley node`: each input gets its specified answer, does not affect other
+//! clients, and leaves no file descriptor, buffer or pending answer behind.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 mod platform;
 use platform::*;
 
-/// Connections of one kind in a storm: more than the router has room for at once.
-const STORM: usize = 150;
-const SOCKETS: &str = "\"sockets\":128";
+/// Connections of one kind in a burst: more than the router can hold at once.
+const BURST_CONNECTIONS: usize = 150;
+const SOCKETS_LIMIT: &str = "\"sockets\":128";
 
 fn world(part: u16) -> World {
-    World::with(part, |c| c.replace("\"sockets\":256", SOCKETS))
+    World::with(part, |c| c.replace("\"sockets\":256", SOCKETS_LIMIT))
 }
 
 fn descriptors(w: &World) -> usize {
@@ -28,7 +28,7 @@
     process.status().expect("a status").vmrss.expect("a size")
 }
 
-fn is_served(w: &World, n: u32) {
+fn assert_served(w: &World, n: u32) {
     assert_eq!(
         w.ask(&call(&id(n), "plain", GOOD, "", "good"))
             .expect("an answer")
@@ -38,25 +38,28 @@
     );
 }
 
-/// A router that owes nothing exits by itself, well before it gives up on what it owes.
-fn exits_owing_nothing(w: &mut World) {
+/// Stops the router, which must exit successfully, and restarts it. A router without pending answers exits well before
+/// the time limit after which it abandons pending answers.
+fn assert_exits_without_pending_answers(w: &mut World) {
     w.signal(Signal::TERM);
     assert!(w.node.wait().expect("ended").success());
     w.node = start(&w.file, &w.folder, w.address);
 }
 
-/// What a client of this kind sends, and whether it gets something else than a close.
-struct Rude {
+/// One kind of invalid client input.
+struct InvalidInput {
     name: &'static str,
+    /// What the client sends.
     text: String,
+    /// Whether the router answers before it closes the connection.
     answered: bool,
 }
 
-fn rude() -> Vec<Rude> {
+fn invalid_inputs() -> Vec<InvalidInput> {
     let good = call(&id(1), "plain", GOOD, "", "body");
     let with = |from: &str, to: &str| good.replace(from, to);
     let chunked = with("Content-Length: 4", "Transfer-Encoding: chunked");
-    let kind = |name, text: String, answered| Rude {
+    let kind = |name, text: String, answered| InvalidInput {
         name,
         text,
         answered,
@@ -111,16 +114,16 @@
 }
 
 #[test]
-fn storms_of_bad_requests_leave_nothing_behind() {
+fn bursts_of_invalid_requests_leave_nothing_behind() {
     let mut w = world(30);
-    is_served(&w, 1_000);
+    assert_served(&w, 1_000);
     let (before, memory) = (descriptors(&w), memory_kb(&w));
-    for (n, rude) in rude().into_iter().enumerate() {
+    for (n, input) in invalid_inputs().into_iter().enumerate() {
         let mut kept = Vec::new();
-        for m in 0..STORM {
+        for m in 0..BURST_CONNECTIONS {
             let mut stream = w.connect();
-            // The router may have closed by then.
-            let _ = stream.write_all(rude.text.as_bytes());
+            // The router may have closed the connection already.
+            let _ = stream.write_all(input.text.as_bytes());
             match m % 3 {
                 0 => drop(stream),
                 1 => {
@@ -130,29 +133,29 @@
                 _ => kept.push(stream),
             }
         }
-        is_served(&w, 2_000 + n as u32);
+        assert_served(&w, 2_000 + n as u32);
         let last = kept.pop().expect("one");
         let mut answers = BufReader::new(last);
         let answered = answer(&mut answers);
         assert_eq!(
             answered.is_some(),
-            rude.answered,
+            input.answered,
             "{}: {answered:?}",
-            rude.name
+            input.name
         );
         assert!(
             answered.is_none_or(|a| (400..=503).contains(&a.0)),
             "{}",
-            rude.name
+            input.name
         );
         assert_eq!(
             answers.read(&mut [0]).unwrap_or(0),
             0,
-            "{}: it closes",
-            rude.name
+            "{}: the router closes the connection",
+            input.name
         );
     }
-    // Those that still linger go by themselves.
+    // Connections that are still being closed end by themselves.
     w.until("all descriptors are free", |w| descriptors(w) <= before);
     assert!(
         memory_kb(&w) < memory + (16 << 10),
@@ -168,18 +171,19 @@
             .iter()
             .all(|c| c.0 >= id(1_000))
     );
-    exits_owing_nothing(&mut w);
+    assert_exits_without_pending_answers(&mut w);
 }
 
-/// Clients wait briefly: a worker whose answers are broken is passed over, and what is held for it is given up in its time.
+/// The client timeouts are short: a worker with invalid answers is not selected for some time, and invocations queued
+/// for it expire.
 #[test]
-fn storms_of_broken_answers_leave_nothing_behind() {
+fn bursts_of_invalid_answers_leave_nothing_behind() {
     let brief = |c: String| {
         c.replace(":2000000000,", ":1000000,")
             .replace(":8000000000,", ":200000000,")
     };
-    let mut w = World::with(31, |c| brief(c.replace("\"sockets\":256", SOCKETS)));
-    is_served(&w, 1_000);
+    let mut w = World::with(31, |c| brief(c.replace("\"sockets\":256", SOCKETS_LIMIT)));
+    assert_served(&w, 1_000);
     let before = descriptors(&w);
     let mut broken = 0;
     for (n, function) in [TWICE, NOISE, HALF, HUGE].into_iter().enumerate() {
@@ -196,16 +200,16 @@
             };
         }
     }
-    assert!(broken >= 3, "{broken} of them came to the worker");
+    assert!(broken >= 3, "{broken} invocations reached the worker");
     w.until("all descriptors are free", |w| descriptors(w) <= before);
-    exits_owing_nothing(&mut w);
+    assert_exits_without_pending_answers(&mut w);
 }
 
-/// What the channel answers before it tells what it should.
+/// The channel sends unusable answers before it announces valid events.
 #[test]
-fn unreadable_lists_are_passed_over_and_leave_nothing_behind() {
+fn unreadable_endpoint_lists_are_ignored_and_leave_nothing_behind() {
     let mut w = world(32);
-    is_served(&w, 1_000);
+    assert_served(&w, 1_000);
     let before = descriptors(&w);
     let ok = |body: &str| {
         format!(
@@ -237,26 +241,27 @@
     std::fs::write(&w.file, at(odd)).expect("written");
     w.signal(Signal::HUP);
     for answer in answers {
-        let (mut stream, _) = listener.accept().expect("it asks again");
-        assert!(stream.read(&mut [0; 512]).expect("a question") > 0);
+        let (mut stream, _) = listener.accept().expect("the router polls again");
+        assert!(stream.read(&mut [0; 512]).expect("a request") > 0);
         stream.write_all(answer.as_bytes()).expect("sent");
-        // It is closed by the router, or no answer is worth waiting for.
+        // Wait until the router closes the connection or sends nothing more within the read.
         while stream.read(&mut [0; 512]).is_ok_and(|n| n > 0) {}
     }
-    is_served(&w, 1_001);
+    assert_served(&w, 1_001);
     std::fs::write(&w.file, &text).expect("written");
     w.signal(Signal::HUP);
     let other = own(32);
     worker(TcpListener::bind(other).expect("bind"), w.seen.clone());
     w.tell(2, "s-2", other, "active");
     w.until("all descriptors are free", |w| descriptors(w) <= before);
-    exits_owing_nothing(&mut w);
+    assert_exits_without_pending_answers(&mut w);
 }
 
-/// Clients that have had an answer keep their connections, more than there is room for, while discovery cannot be reached.
+/// Clients keep their connections open after an answer, more of them than the router can hold, while discovery is
+/// unreachable.
 #[test]
 fn idle_clients_leave_room_for_discovery_workers_and_others() {
-    let w = World::with(33, |c| c.replace("\"sockets\":256", SOCKETS));
+    let w = World::with(33, |c| c.replace("\"sockets\":256", SOCKETS_LIMIT));
     let moved = own(33);
     let text = std::fs::read_to_string(&w.file).expect("read");
     let old = format!(r#""channel":"{}""#, w.first_channel);
@@ -265,9 +270,9 @@
         text.replace(&old, &format!(r#""channel":"{moved}""#)),
     )
     .expect("written");
-    // Nobody listens there yet.
+    // No process listens at that address yet.
     w.signal(Signal::HUP);
-    let idle: Vec<TcpStream> = (0..STORM)
+    let idle: Vec<TcpStream> = (0..BURST_CONNECTIONS)
         .map(|_| {
             let mut stream = w.connect();
             stream
@@ -283,14 +288,14 @@
         })
         .collect();
     assert!(descriptors(&w) < 128);
-    is_served(&w, 1);
+    assert_served(&w, 1);
     let told = w.channel.clone();
     channel(TcpListener::bind(moved).expect("bind"), told);
     let (other, seen) = (own(33), Shared::default());
     worker(TcpListener::bind(other).expect("bind"), seen.clone());
     w.tell(2, "s-2", other, "active");
     w.tell(3, "s-1", w.workers, "left");
-    is_served(&w, 2);
+    assert_served(&w, 2);
     assert_eq!(seen.lock().expect("seen").calls.len(), 1);
     drop(idle);
 }
--- a/crates/cli/tests/node_endings.rs
+++ b/crates/cli/tests/node_endings.rs
@@ -1,6 +1,6 @@
-//! What is owed at the moment when something ends: a client's connection, a worker's, or the router itself. Each crossing
-//! is forced: the router's process is halted, what should cross is put into the kernel's buffers and seen there, and the
-//! process goes on.
+//! Checks that no answer is lost and no invocation is wrongly dispatched when a client connection, a worker connection or
+//! the router itself ends. Each race is forced: the router process is suspended, the racing bytes are sent and seen in the
+//! kernel's buffers, and the process is resumed.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,10 +15,10 @@
 use platform::*;
 
 const HEALTH: &str = "GET /-/healthy HTTP/1.1\r\n\r\n";
-/// Requests that come later than this after the order to stop are refused.
+/// Requests that arrive later than this after SIGTERM are rejected.
 const STILL_ACCEPTS: Duration = Duration::from_millis(700);
-/// A connection is idle for less than this.
-const IDLE_KEPT: Duration = Duration::from_millis(5_300);
+/// The router closes a client connection before it has been idle for this long.
+const ABOVE_IDLE_LIMIT: Duration = Duration::from_millis(5_300);
 
 fn send(w: &World, text: &str) -> TcpStream {
     let mut stream = w.connect();
@@ -34,7 +34,7 @@
     answer(&mut BufReader::new(stream)).expect("an answer").0
 }
 
-/// A connection on which the router has answered once.
+/// Returns a connection on which the router has answered one request.
 fn open(w: &World) -> TcpStream {
     let stream = send(w, HEALTH);
     assert_eq!(
@@ -46,7 +46,7 @@
     stream
 }
 
-/// The function has a copy and the worker an idle connection: a request for it leaves as soon as it is read.
+/// Loads the function and leaves an idle connection to the worker, so that a request is dispatched as soon as it is read.
 fn warm_up(w: &World) {
     assert_eq!(
         w.ask(&call(&id(1_000), "plain", GOOD, "", "x"))
@@ -56,20 +56,20 @@
     );
 }
 
-fn told_to_stop(w: &World) {
+fn request_stop(w: &World) {
     w.signal(Signal::TERM);
-    w.until("it shuts down", |w| {
+    w.until("the router shuts down", |w| {
         w.ask(HEALTH).is_none_or(|a| a.0 == 503)
     });
 }
 
-/// The router ends well, and a new one takes its place.
-fn exits(w: &mut World) {
+/// Waits until the router exits successfully, and starts it again.
+fn restart_after_exit(w: &mut World) {
     assert!(w.node.wait().expect("ended").success());
     w.node = start(&w.file, &w.folder, w.address);
 }
 
-/// The configuration names another discovery channel, which tells what the first one has told.
+/// Starts another discovery channel with the events of the first one. Returns it and a configuration that names it.
 fn second_channel(w: &World, part: u16) -> (Arc<Mutex<Channel>>, String) {
     let (to, told) = (own(part), Arc::new(Mutex::new(Channel::default())));
     told.lock().expect("channel").events = w.channel.lock().expect("channel").events.clone();
@@ -82,24 +82,25 @@
     (told, text.replace(&old, &new))
 }
 
-fn is_asked(w: &World, told: &Mutex<Channel>) {
-    w.until("the new channel is asked", |_| {
+fn wait_until_polled(w: &World, told: &Mutex<Channel>) {
+    w.until("the router polls the new channel", |_| {
         !told.lock().expect("channel").asked.is_empty()
     });
 }
 
-/// With as much sent ahead as is kept, nothing more was read, and the client's closing went unnoticed.
+/// Guards against a closed client connection that goes unnoticed: a client had pipelined as many requests as the router
+/// buffers, so the router no longer read from the connection.
 #[test]
-fn a_client_that_sent_far_ahead_and_left_has_nothing_more_begun() {
+fn a_pipelining_client_that_disconnects_has_no_further_request_dispatched() {
     let w = World::new(30);
     let ahead: String = (2..30)
         .map(|n| call(&id(n), "once", GOOD, "", "x"))
         .collect();
     let stream = send(&w, &(call(&id(1), "once", KEPT, "", "x") + &ahead));
-    w.until("the first is out", |w| w.calls(&id(1)) == 1);
+    w.until("the first request is dispatched", |w| w.calls(&id(1)) == 1);
     w.turns();
     drop(stream);
-    w.until("it is called back", |w| {
+    w.until("the dispatch is cancelled", |w| {
         w.seen.lock().expect("seen").killed.contains(&id(1))
     });
     w.free(&id(1));
@@ -107,15 +108,15 @@
     assert!((2..30).all(|n| w.calls(&id(n)) == 0));
 }
 
-/// Each of many requests sent ahead has its answer, in order: those that are kept, and those beyond.
+/// Each of many pipelined requests is answered in order, both within the limit of buffered requests and above it.
 #[test]
-fn each_request_sent_far_ahead_is_answered() {
+fn each_pipelined_request_is_answered() {
     let w = World::new(31);
     let ahead: String = (2..30)
         .map(|n| call(&id(n), "plain", GOOD, "", "x"))
         .collect();
     let stream = send(&w, &(call(&id(1), "once", KEPT, "", "x") + &ahead));
-    w.until("the first is out", |w| w.calls(&id(1)) == 1);
+    w.until("the first request is dispatched", |w| w.calls(&id(1)) == 1);
     w.turns();
     w.free(&id(1));
     let mut answers = BufReader::new(stream);
@@ -130,9 +131,10 @@
     assert!((1..30).all(|n| w.calls(&id(n)) == usize::from((n as usize) <= served)));
 }
 
-/// A request and its client's closing lie unread together: the request was sent on, for nobody.
+/// Guards against a dispatch without a waiting client: the request and the client's FIN are both unread, and the router
+/// dispatched the request.
 #[test]
-fn a_request_whose_client_has_left_before_it_is_read_is_not_begun() {
+fn a_request_whose_client_disconnects_before_it_is_read_is_not_dispatched() {
     for on_open_connection in [false, true] {
         let w = World::new(32);
         warm_up(&w);
@@ -152,14 +154,14 @@
     }
 }
 
-/// A request waits for a lane. Its client leaves, and the lane becomes free, before the router looks at either; it looks
-/// first at what has come first.
+/// A request waits for a lane. Its client disconnects and the lane becomes free before the router processes either event;
+/// the router processes first what arrived first.
 #[test]
-fn a_waiting_request_whose_client_has_left_is_not_begun() {
+fn a_waiting_request_whose_client_disconnects_is_not_dispatched() {
     for leaves_first in [false, true] {
         let w = World::new(33);
         let first = send(&w, &call(&id(1), "once", KEPT, "", "x"));
-        w.until("it is out", |w| w.calls(&id(1)) == 1);
+        w.until("the request is dispatched", |w| w.calls(&id(1)) == 1);
         let second = send(&w, &call(&id(2), "once", KEPT, "", "x"));
         w.turns();
         assert_eq!(w.calls(&id(2)), 0);
@@ -182,16 +184,17 @@
     }
 }
 
-/// The refusal was followed by a close with the request unread, and so by a reset.
+/// Guards against a rejection that is lost to a TCP reset: the router closed the connection after the rejection while the
+/// request was still unread.
 #[test]
-fn whoever_finds_no_room_reads_its_refusal_and_no_reset() {
+fn a_client_above_the_connection_limit_reads_its_rejection_without_a_reset() {
     let w = World::with(34, |c| c.replace("\"sockets\":256", "\"sockets\":4"));
     let busy = [1, 2].map(|n| {
         let stream = send(
             &w,
             &call(&id(n), "once", KEPT, "X-Extras: lanes:8\r\n", "x"),
         );
-        w.until("it is out", |w| w.calls(&id(n)) == 1);
+        w.until("the request is dispatched", |w| w.calls(&id(n)) == 1);
         stream
     });
     w.halt();
@@ -213,9 +216,10 @@
     }
 }
 
-/// The connection that looked idle for longest was closed for a new one, with its request unread.
+/// Guards against an idle connection that is closed with an unread request: the router closed the connection that had
+/// been idle longest to make room for a new one.
 #[test]
-fn a_connection_with_an_unread_request_makes_no_room_for_others() {
+fn a_connection_with_an_unread_request_is_not_closed_to_make_room() {
     for new_comes_first in [false, true] {
         let w = World::with(35, |c| c.replace("\"sockets\":256", "\"sockets\":8"));
         let mut idle: Vec<TcpStream> = (0..4).map(|_| open(&w)).collect();
@@ -240,9 +244,9 @@
     }
 }
 
-/// Half a request was dropped without a word when its connection had to make room.
+/// Guards against a partly received request that is dropped without an answer when its connection is closed to make room.
 #[test]
-fn half_a_request_that_makes_room_for_others_is_refused() {
+fn a_partly_received_request_is_rejected_when_its_connection_makes_room() {
     let w = World::with(36, |c| c.replace("\"sockets\":256", "\"sockets\":4"));
     let text = call(&id(1), "plain", GOOD, "", "x");
     let half: Vec<TcpStream> = (0..2)
@@ -262,9 +266,9 @@
     assert!(statuses.all(|s| s == 503));
 }
 
-/// The process stands still for longer than a connection may be idle, and a request arrives on it meanwhile.
+/// The process is suspended for longer than the idle limit of a connection, and a request arrives on it in the meantime.
 #[test]
-fn a_request_that_arrived_while_the_router_stood_still_is_served() {
+fn a_request_that_arrived_while_the_router_was_suspended_is_served() {
     let w = World::new(37);
     let mut stream = open(&w);
     w.halt();
@@ -272,12 +276,13 @@
         .write_all(call(&id(1), "plain", GOOD, "", "x").as_bytes())
         .expect("sent");
     w.lies_unread(address(&stream));
-    thread::sleep(IDLE_KEPT);
+    thread::sleep(ABOVE_IDLE_LIMIT);
     w.goes_on();
     assert_eq!(status(stream), 200);
 }
 
-/// The deadline that a worker is given counted from when the router read the request.
+/// Guards against a deadline for the worker that is counted from when the router read the request; it must be counted
+/// from when the request arrived.
 #[test]
 fn a_worker_is_given_no_more_time_than_the_client_has_left() {
     let w = World::new(38);
@@ -298,13 +303,14 @@
     w.goes_on();
     assert_eq!(status(stream), 200);
     let given = w.seen.lock().expect("seen").deadlines.clone();
-    // As much less as it stood still, with the protocol's slack.
+    // Less by the time for which the process was suspended (1000 ms), with 150 ms of slack for the protocol.
     assert!(given[&id(2)] <= given[&id(1)] - 1_000 + 150, "{given:?}");
 }
 
-/// A worker moves while a connection to its old address is coming up: another worker may listen there by then.
+/// A worker moves while a connection to its old address is being established: another worker may listen at that address
+/// by then.
 #[test]
-fn nothing_goes_to_the_old_address_of_a_worker_that_has_moved() {
+fn nothing_is_sent_to_the_old_address_of_a_moved_worker() {
     let patient = |c: String| {
         c.replace("\"miss\"", "\"load\"")
             .replace("250000000", "30000000000")
@@ -316,7 +322,7 @@
     w.tell(2, "s-2", old, "active");
     w.tell(3, "s-1", w.workers, "left");
     let stream = send(&w, &call(&id(1), "plain", GOOD, "", "x"));
-    w.until("it connects", |_| {
+    w.until("the router connects", |_| {
         rows(None, Some(old)).iter().any(|r| r.state == SynSent)
     });
     w.tell(4, "s-2", new, "active");
@@ -332,30 +338,30 @@
     );
 }
 
-/// A request comes in pieces, and the router is told to stop between them.
+/// A request arrives in two parts, and the router receives SIGTERM between them.
 #[test]
-fn a_request_in_pieces_is_answered_by_a_router_that_shuts_down() {
+fn a_request_in_two_parts_is_answered_during_shutdown() {
     let mut w = World::new(40);
     let text = call(&id(1), "plain", GOOD, "", "x");
     let (first, rest) = text.split_at(text.len() / 2);
     let mut stream = send(&w, first);
     w.turns();
-    told_to_stop(&w);
-    // And until after the next look for connections on which nothing is in progress.
+    request_stop(&w);
+    // Wait until the router has next checked for connections on which nothing is in progress.
     thread::sleep(STILL_ACCEPTS + Duration::from_millis(200));
     stream.write_all(rest.as_bytes()).expect("sent");
     assert_eq!(status(stream), 503);
-    exits(&mut w);
+    restart_after_exit(&mut w);
 }
 
-/// A connection stands in the listener's backlog, its request whole, as the router finds that it may exit. On a machine too
-/// slow to halt the router before that, once more.
+/// A connection with a complete request waits in the listen backlog when the router finds that it may exit. If the machine
+/// was too slow to suspend the router before that, the test tries again.
 #[test]
-fn what_stands_in_the_backlog_of_a_router_that_shuts_down_is_answered() {
+fn a_request_in_the_listen_backlog_is_answered_during_shutdown() {
     let mut w = World::new(41);
     for _ in 0..10 {
         let began = Instant::now();
-        told_to_stop(&w);
+        request_stop(&w);
         w.signal(Signal::STOP);
         let came = TcpStream::connect(w.address).and_then(|mut stream| {
             stream.set_read_timeout(Some(PATIENCE))?;
@@ -372,43 +378,43 @@
         if in_time {
             assert!([200, 503].contains(&status(came.expect("it listens"))));
         }
-        exits(&mut w);
+        restart_after_exit(&mut w);
         if in_time {
             return;
         }
-        w.until("it serves again", |w| {
+        w.until("the router serves requests again", |w| {
             w.ask(HEALTH).is_some_and(|a| a.0 == 200)
         });
     }
     panic!("the machine is too slow");
 }
 
-/// Discovery moves while a router shuts down: it heard no further signal, and nothing of what the new address tells.
+/// Guards against a router that ignores SIGHUP during shutdown and therefore does not follow discovery to its new address.
 #[test]
 fn a_router_that_shuts_down_follows_discovery_to_a_new_address() {
     let mut w = World::new(42);
     let stream = send(&w, &call(&id(1), "once", KEPT, "", "x"));
-    w.until("it is out", |w| w.calls(&id(1)) == 1);
-    told_to_stop(&w);
+    w.until("the request is dispatched", |w| w.calls(&id(1)) == 1);
+    request_stop(&w);
     let (told, text) = second_channel(&w, 42);
     std::fs::write(&w.file, text).expect("written");
     w.signal(Signal::HUP);
-    is_asked(&w, &told);
+    wait_until_polled(&w, &told);
     w.free(&id(1));
     assert_eq!(status(stream), 200);
-    exits(&mut w);
+    restart_after_exit(&mut w);
 }
 
-/// The configuration is still being written as the signal comes.
+/// The configuration is still being written when the router receives SIGHUP.
 #[test]
-fn a_configuration_that_is_half_written_is_read_again() {
+fn a_partly_written_configuration_is_read_again() {
     let w = World::new(43);
     let (told, text) = second_channel(&w, 43);
     std::fs::write(&w.file, &text[..text.len() / 2]).expect("written");
     w.signal(Signal::HUP);
     w.turns();
     std::fs::write(&w.file, text).expect("written");
-    is_asked(&w, &told);
+    wait_until_polled(&w, &told);
     assert_eq!(
         w.ask(&call(&id(1), "plain", GOOD, "", "x"))
             .expect("an answer")
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -524,7 +524,10 @@
         let _ = self.node.wait();
         let _ = std::fs::remove_file(&self.file);
         let _ = std::fs::remove_dir_all(&self.folder);
-        assert!(lives || thread::panicking(), "the router process has exited");
+        assert!(
+            lives || thread::panicking(),
+            "the router process has exited"
+        );
     }
 }
 
--- a/crates/cli/tests/processes.rs
+++ b/crates/cli/tests/processes.rs
@@ -1,6 +1,7 @@
-//! Three routers in two regions before stand-ins, with faults on the links between them and on the processes: the
-//! five rules hold in the judge's eyes, each invocation gets one answer, and nothing that must not runs twice.
-//! Rules and counts, never times. These routers share nothing; for those that do see `group.rs`.
+//! Runs three routers in two regions with emulated brokers and workers, and injects faults into the links and the processes.
+//! The invariant checker must find that the five rules hold, each invocation gets one answer, and no non-idempotent
+//! invocation runs twice. The tests check rules and counts, never times. These routers share no state; `group.rs` tests
+//! routers that do.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -21,62 +22,67 @@
 mod fleets;
 use fleets::*;
 
-/// What shows that a fault came about.
-type Shown = fn(&Played) -> bool;
+/// Tells from a run whether the fault had its effect.
+type FaultEvidence = fn(&Played) -> bool;
 
-const HELD: Shown = |p| p.verdict.held_by_rig > 0;
-const REQUEUED: Shown = |p| p.logged(BROKER, "requeued") > 0;
-/// Something may have run: nobody could tell.
-const UNSURE: Shown = |p| p.verdict.answers["errored"] > 0;
-/// Its effect is shown by the relays' own tests.
-const ELSEWHERE: Shown = |_| true;
+const HELD: FaultEvidence = |p| p.verdict.held_by_rig > 0;
+const REQUEUED: FaultEvidence = |p| p.logged(BROKER, "requeued") > 0;
+/// Invocations ended as errored: they may have run.
+const ERRORED: FaultEvidence = |p| p.verdict.answers["errored"] > 0;
+/// The effect of the fault is checked by the tests of the relays.
+const CHECKED_ELSEWHERE: FaultEvidence = |_| true;
 
 #[rstest]
 #[case::cut_from_the_broker(On::Broker, LinkFault::Held, LinkFault::Held, HELD)]
 #[case::cut_to_the_broker(On::Broker, LinkFault::Held, PASS, HELD)]
 #[case::cut_of_the_broker(On::Broker, PASS, LinkFault::Held, HELD)]
-#[case::late_with_the_broker(On::Broker, LATE, LATE, ELSEWHERE)]
-#[case::cut_from_the_list(On::List, LinkFault::Held, LinkFault::Held, ELSEWHERE)]
-#[case::cut_from_the_workers(On::Workers, LinkFault::Held, LinkFault::Held, UNSURE)]
-#[case::cut_to_the_workers(On::Workers, LinkFault::Held, PASS, UNSURE)]
-#[case::lost_of_the_workers(On::Workers, PASS, LinkFault::Lost, UNSURE)]
-#[case::half_open_to_the_workers(On::Workers, LinkFault::HalfOpen, PASS, ELSEWHERE)]
-#[case::half_open_of_the_workers(On::Workers, PASS, LinkFault::HalfOpen, ELSEWHERE)]
-#[case::refused_by_the_workers(On::Workers, LinkFault::Refused, PASS, ELSEWHERE)]
-#[case::throttled_to_the_workers(On::Workers, SLOW, PASS, ELSEWHERE)]
-#[case::region_cut(On::Region("west"), LinkFault::Held, LinkFault::Held, UNSURE)]
-#[case::region_lost(On::Region("east"), LinkFault::Lost, LinkFault::Lost, UNSURE)]
+#[case::late_with_the_broker(On::Broker, LATE, LATE, CHECKED_ELSEWHERE)]
+#[case::cut_from_the_list(On::List, LinkFault::Held, LinkFault::Held, CHECKED_ELSEWHERE)]
+#[case::cut_from_the_workers(On::Workers, LinkFault::Held, LinkFault::Held, ERRORED)]
+#[case::cut_to_the_workers(On::Workers, LinkFault::Held, PASS, ERRORED)]
+#[case::lost_of_the_workers(On::Workers, PASS, LinkFault::Lost, ERRORED)]
+#[case::half_open_to_the_workers(On::Workers, LinkFault::HalfOpen, PASS, CHECKED_ELSEWHERE)]
+#[case::half_open_of_the_workers(On::Workers, PASS, LinkFault::HalfOpen, CHECKED_ELSEWHERE)]
+#[case::refused_by_the_workers(On::Workers, LinkFault::Refused, PASS, CHECKED_ELSEWHERE)]
+#[case::throttled_to_the_workers(On::Workers, SLOW, PASS, CHECKED_ELSEWHERE)]
+#[case::region_cut(On::Region("west"), LinkFault::Held, LinkFault::Held, ERRORED)]
+#[case::region_lost(On::Region("east"), LinkFault::Lost, LinkFault::Lost, ERRORED)]
 fn rules_hold_under(
     #[case] on: On,
     #[case] out: LinkFault,
     #[case] back: LinkFault,
-    #[case] shown: Shown,
+    #[case] evidence: FaultEvidence,
 ) {
     let script = Script::new(1)
         .at(1000, |f| set(f, on, out, back))
         .at(1000 + LONG_MS, |f| set(f, on, PASS, PASS));
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
-    assert!(shown(&played), "it came about: {}", played.verdict.table());
+    assert!(
+        evidence(&played),
+        "the fault had an effect: {}",
+        played.verdict.table()
+    );
 }
 
 #[test]
-fn a_router_killed_in_the_middle_of_its_work_runs_nothing_twice() {
+fn a_router_killed_during_its_work_runs_nothing_twice() {
     let script = Script::new(1)
         .at(1000, hold_unanswered)
         .at(1000, |f| f.kill_router(1))
         .at(1000, answer_again)
         .at(2500, |f| {
-            f.start_router(1, StateAtStart::Removed).expect("it starts")
+            f.start_router(1, StateAtStart::Removed)
+                .expect("the router starts")
         });
     let played = play(&day(once), None, script, PATIENCE);
     played.holds();
     assert!(REQUEUED(&played), "{}", played.verdict.table());
 }
 
-/// Its answers and acknowledgements are lost on their way, and the broker hands out again what it held.
+/// Answers and acknowledgements to the broker are lost, and the broker redelivers the unacknowledged messages.
 #[test]
-fn answers_lost_on_their_way_to_the_broker_run_nothing_twice() {
+fn answers_lost_in_transit_to_the_broker_run_nothing_twice() {
     let script = Script::new(1)
         .at(1000, hold_unanswered)
         .at(1000, |f| {
@@ -90,9 +96,9 @@
     assert!(REQUEUED(&played), "{}", played.verdict.table());
 }
 
-/// Half of the traffic is calls.
+/// Half of the requests use KServe.
 #[test]
-fn a_router_that_stands_still_for_longer_than_clients_wait_goes_on() {
+fn a_router_suspended_for_longer_than_clients_wait_continues() {
     let script = Script::new(1)
         .at(1000, |f| f.pause_router(1, true).expect("paused"))
         .at(1000 + LONG_MS, |f| {
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn storms_of_resets_on_all_links_break_no_rule() {
+fn frequent_resets_on_all_links_break_no_rule() {
     let storm = Script::new(3).repeatedly(500..4500, 120.0, |f, random| {
         let router = random.random_range(0..3);
         let far = match random.random_range(0..4) {
@@ -114,7 +120,7 @@
         f.links.set(&f.router_name(router), &far, LinkFault::Reset);
         f.links.set(&f.router_name(router), &far, PASS);
     });
-    // In any case, some are reset while they hold what is unanswered.
+    // Finally all broker links are reset while invocations are certainly unanswered.
     let script = storm.at(4600, |f| {
         hold_unanswered(f);
         (0..3).for_each(|n| f.links.set(&f.router_name(n), BROKER, LinkFault::Reset));
@@ -137,12 +143,12 @@
     let played = play(&day(|_| {}), None, script, PATIENCE);
     played.holds();
     let log = lock(&played.fleet.routers[1]).log();
-    assert!(log.contains("File too large"), "it was full: {log}");
+    assert!(log.contains("File too large"), "the disk was full: {log}");
 }
 
-/// It listens on though not a line of its log can be written, and ends in good order.
+/// The router keeps serving although no line of its log can be written, and exits successfully.
 #[test]
-fn a_full_disk_of_its_log_ends_no_router() {
+fn a_full_disk_for_the_log_stops_no_router() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = ReservedPort::at([127, 0, 0, 1].into()).expect("a port");
     let text = format!(
@@ -162,7 +168,7 @@
         .spawn()
         .expect("started");
     let mut ended = || router.try_wait().expect("waited").map(|s| s.code());
-    // Answered, it hears signals too.
+    // Once the router answers, it also handles signals.
     let live = || {
         let Ok(mut stream) = TcpStream::connect(at.address) else {
             return false;
@@ -175,9 +181,9 @@
             && answer.ends_with(b"200")
     };
     assert!(until(PATIENCE, || live() || ended().is_some()));
-    assert_eq!(ended(), None, "it runs");
+    assert_eq!(ended(), None, "the router runs");
     let pid = Pid::from_raw(router.id() as i32).expect("a pid");
-    kill_process(pid, Signal::TERM).expect("told");
+    kill_process(pid, Signal::TERM).expect("signalled");
     let mut ended = || router.try_wait().expect("waited").map(|s| s.code());
     assert!(until(PATIENCE, || ended().is_some()));
     assert_eq!(ended(), Some(Some(0)));
@@ -189,9 +195,10 @@
     );
 }
 
-/// Its clock an hour ahead, one router takes all that comes for expired; without the flag it is refused.
+/// A router whose clock is one hour ahead treats all requests as expired. Without `--rig`, settings with a clock offset are
+/// rejected.
 #[test]
-fn a_clock_may_be_off_in_tests_only() {
+fn a_clock_offset_is_allowed_only_in_tests() {
     let off = day(|d| (d.clock_offsets_ms, d.seconds) = (vec![0, 3_600_000], 2.0));
     let played = play(&off, None, Script::new(1), PATIENCE);
     played.holds();
@@ -206,7 +213,7 @@
             .arg(command)
             .arg(&file)
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         let text = String::from_utf8_lossy(&said.stderr).into_owned();
         let lines: Vec<&str> = text.lines().collect();
         assert!(said.status.code() == Some(2) && lines.len() == 1, "{text}");
@@ -217,7 +224,8 @@
     }
 }
 
-/// What the judge allows for hides no broken rule: one router meddles while regions are cut and another stands still.
+/// The tolerances of the invariant checker hide no violation: one router tampers with invocations while a region is
+/// unreachable and another router is suspended.
 #[rstest]
 #[case("lost", "1")]
 #[case("double", "1")]
@@ -228,7 +236,7 @@
         .at(1000, |f| f.pause_router(2, true).expect("paused"))
         .at(2000, |f| f.pause_router(2, false).expect("goes on"))
         .at(2500, |f| f.set_region_fault("west", PASS));
-    // It meddles with one in fifteen: some of them must be of those that show it.
+    // It tampers with one invocation in fifteen. The rate is raised so that some of them are of a kind that shows it.
     let more = day(|d| {
         once(d);
         d.rate_per_s = 60.0;
@@ -237,9 +245,9 @@
     assert!(played.verdict.rules[rule] > 0, "{}", played.verdict.table());
 }
 
-/// A clean fleet is judged clean, with all its links relayed, and nobody is left unsure.
+/// Without faults, and with all links relayed, the invariant checker finds no violation, and no invocation ends as errored.
 #[test]
-fn an_undisturbed_fleet_is_unsure_of_nothing() {
+fn a_cluster_without_faults_has_no_errored_invocations() {
     let mixed = day(|d| {
         d.triggers
             .iter_mut()
--- a/crates/cli/tests/rest.rs
+++ b/crates/cli/tests/rest.rs
@@ -1,24 +1,25 @@
-//! The KServe v2 front over REST of a running router, before a stand-in worker.
+//! Tests the KServe v2 front over REST of a running router with an emulated worker.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
 mod running;
-use running::{MOST_BODY, comes, read, start, start_with};
+use running::{MAX_BODY_BYTES, eventually, read, start, start_with};
 
-/// For what must not end by the client's time, however long a machine takes.
-const PATIENT: &str = "cedarpulley-trigger-type: patient\r\ncedarpulley-lanes: 50\r\n";
-const ONCE: &str = "cedarpulley-trigger-type: once\r\ncedarpulley-lanes: 50\r\n";
+/// Headers of requests that must not end by the client timeout, however slow the machine is.
+const LONG_TIMEOUT: &str = "cedarpulley-trigger-type: patient\r\ncedarpulley-lanes: 50\r\n";
+/// Headers of non-idempotent requests with the usual client timeout.
+const NON_IDEMPOTENT: &str = "cedarpulley-trigger-type: once\r\ncedarpulley-lanes: 50\r\n";
 
 #[test]
-fn requests_are_answered_and_wrong_ones_named() {
+fn requests_are_answered_and_invalid_ones_are_rejected_with_the_cause() {
     let r = start("rest-plain", Duration::from_millis(5));
     assert_eq!(r.ask("GET", "/v2/health/live", "", b"").0, 200);
     assert_eq!(r.ask("GET", "/v2/health/ready", "", b"").0, 200);
     assert_eq!(r.ask("GET", "/v2/nothing", "", b"").0, 404);
     assert_eq!(r.ask("GET", "/v2/models/f/infer", "", b"").0, 405);
-    let (status, text) = r.ask("POST", "/v2/models/once%3Af/infer", ONCE, b"{}");
+    let (status, text) = r.ask("POST", "/v2/models/once%3Af/infer", NON_IDEMPOTENT, b"{}");
     assert_eq!(status, 200, "{text}");
     assert!(
         text.contains("cedarpulley-fate: succeeded") && text.contains(r#""model_name":"once:f""#),
@@ -34,7 +35,7 @@
         status == 400 && text.contains("cedarpulley-trigger-type: 'what' is unknown"),
         "{text}"
     );
-    let late = format!("{ONCE}cedarpulley-sent-at-us: 1000\r\n");
+    let late = format!("{NON_IDEMPOTENT}cedarpulley-sent-at-us: 1000\r\n");
     let (status, text) = r.ask("POST", "/v2/models/f/infer", &late, b"{}");
     assert!(
         status == 429 && text.contains("cedarpulley-reason: expired"),
@@ -44,22 +45,27 @@
         r.ask(
             "POST",
             "/v2/models/f/infer",
-            ONCE,
-            &vec![b' '; MOST_BODY + 1]
+            NON_IDEMPOTENT,
+            &vec![b' '; MAX_BODY_BYTES + 1]
         )
         .0,
         413
     );
     assert_eq!(
-        r.ask("POST", "/v2/models/f/infer", ONCE, &vec![b' '; MOST_BODY])
-            .0,
+        r.ask(
+            "POST",
+            "/v2/models/f/infer",
+            NON_IDEMPOTENT,
+            &vec![b' '; MAX_BODY_BYTES]
+        )
+        .0,
         200
     );
-    // A body shorter than told: nothing is dispatched for it.
+    // A body shorter than its content-length is not dispatched.
     let before = r.received();
-    let mut stream = TcpStream::connect(r.address).expect("it listens");
+    let mut stream = TcpStream::connect(r.address).expect("the router listens");
     let head = format!(
-        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{ONCE}content-length: 10\r\n\r\n{{}}"
+        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{NON_IDEMPOTENT}content-length: 10\r\n\r\n{{}}"
     );
     stream.write_all(head.as_bytes()).expect("written");
     drop(stream);
@@ -67,16 +73,19 @@
     assert_eq!(r.received(), before);
 }
 
-/// Its work takes longer than the test waits for the end of it.
+/// The work of the invocation takes longer than the test waits for its cancellation.
 #[test]
-fn a_client_that_vanishes_has_its_dispatch_called_back_and_nothing_sent_again() {
+fn the_dispatch_of_a_disconnected_client_is_cancelled_and_not_repeated() {
     let r = start("rest-vanish", Duration::from_secs(30));
-    let stream = r.send("POST", "/v2/models/f/infer", PATIENT, b"{}");
-    assert!(comes(|| r.received() == 1), "the worker got it");
+    let stream = r.send("POST", "/v2/models/f/infer", LONG_TIMEOUT, b"{}");
+    assert!(
+        eventually(|| r.received() == 1),
+        "the worker has received the invocation"
+    );
     drop(stream);
     assert!(
-        comes(|| r.logged(r#""what":"left""#) == 1),
-        "the worker saw its connection close before its work was done"
+        eventually(|| r.logged(r#""what":"left""#) == 1),
+        "the worker must see the connection close before the work is done"
     );
     assert_eq!(r.received(), 1);
 }
@@ -86,23 +95,26 @@
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
 )]
-fn a_router_told_to_stop_answers_what_it_took_and_ends_well() {
+fn shutdown_answers_accepted_requests_and_exits_successfully() {
     let mut r = start("rest-stop", Duration::from_secs(3));
-    let marked = |n: usize| format!("{PATIENT}x-request-id: call-{n}\r\n");
+    let named = |n: usize| format!("{LONG_TIMEOUT}x-request-id: call-{n}\r\n");
     let streams: Vec<TcpStream> = (0..5)
-        .map(|n| r.send("POST", "/v2/models/f/infer", &marked(n), b"{}"))
+        .map(|n| r.send("POST", "/v2/models/f/infer", &named(n), b"{}"))
         .collect();
-    assert!(comes(|| r.received() == 5), "all are taken");
-    r.told_to_stop();
-    // As soon as it knows, nothing new is taken: it says so, or nobody listens any more.
-    let refused = || {
+    assert!(
+        eventually(|| r.received() == 5),
+        "all requests are accepted"
+    );
+    r.request_stop();
+    // From the signal on, the router rejects new requests explicitly or no longer listens.
+    let rejects_new = || {
         let Ok(mut late) = TcpStream::connect(r.address) else {
             return true;
         };
         late.set_read_timeout(Some(Duration::from_millis(100)))
             .expect("set");
         let head = format!(
-            "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{PATIENT}content-length: 2\r\n\r\n{{}}"
+            "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{LONG_TIMEOUT}content-length: 2\r\n\r\n{{}}"
         );
         let mut answer = [0; 12];
         match late
@@ -113,8 +125,11 @@
             Err(e) => e.kind() != std::io::ErrorKind::WouldBlock,
         }
     };
-    assert!(comes(refused), "it still takes what is new");
-    // Not only because all was answered and it has ended.
+    assert!(
+        eventually(rejects_new),
+        "the router still accepts new requests"
+    );
+    // The rejection must come before all requests are answered and the router has exited.
     let out = |s: &TcpStream| {
         s.set_nonblocking(true).expect("set");
         let out = s
@@ -125,11 +140,11 @@
     };
     assert!(
         streams.iter().any(out),
-        "it refused only after its work was done"
+        "the router rejected requests only after its work was done"
     );
     assert!(streams.into_iter().all(|s| read(s).0 == 200));
-    assert!(r.ended_well());
-    // From its trace alone: the life of one of them, by the mark that its client gave it.
+    assert!(r.exits_successfully());
+    // The trace alone shows the course of one invocation, by the name that the client gave it.
     let trace = |args: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cedarpulley"));
         let out = command
@@ -137,13 +152,13 @@
             .args(args)
             .arg(r.folder.join("traces"))
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         (
             out.status.code(),
             String::from_utf8_lossy(&out.stdout).into_owned(),
         )
     };
-    let (code, life) = trace(&["show", "call-3"]);
+    let (code, shown) = trace(&["show", "call-3"]);
     let words = [
         "taken from kserve",
         "patient for f, gives up",
@@ -152,8 +167,8 @@
         "answered: Succeeded",
     ];
     assert!(
-        code == Some(0) && words.iter().all(|w| life.contains(w)),
-        "{life}"
+        code == Some(0) && words.iter().all(|w| shown.contains(w)),
+        "{shown}"
     );
     assert_eq!(trace(&["show", "nobody"]).0, Some(2));
     let (code, replayed) = trace(&["replay"]);
@@ -164,9 +179,9 @@
     assert_eq!(trace(&["verify"]).0, Some(0));
 }
 
-/// As many as descriptors allow, up to ten thousand; each costs the router little.
+/// Opens as many connections as the descriptor limit allows, up to ten thousand, and bounds the memory of each.
 #[test]
-fn idle_connections_hold_nobody_up() {
+fn idle_connections_delay_no_other_client() {
     let r = start_with(
         "rest-idle",
         Duration::from_millis(1),
@@ -179,11 +194,14 @@
         .unwrap_or(u64::MAX);
     let many = allowed.saturating_sub(1000).min(10_000) / 2 * 2;
     let idle: Vec<TcpStream> = (0..many)
-        .map(|_| TcpStream::connect(r.address).expect("it listens"))
+        .map(|_| TcpStream::connect(r.address).expect("the router listens"))
         .collect();
-    assert_eq!(r.ask("POST", "/v2/models/f/infer", ONCE, b"{}").0, 200);
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", r.router.id())).expect("it runs");
+    assert_eq!(
+        r.ask("POST", "/v2/models/f/infer", NON_IDEMPOTENT, b"{}").0,
+        200
+    );
+    let status = std::fs::read_to_string(format!("/proc/{}/status", r.router.id()))
+        .expect("the program runs");
     let kb = status.lines().find_map(|l| {
         l.strip_prefix("VmRSS:")?
             .trim()
@@ -198,13 +216,21 @@
         "{kb} kB with {many} connections"
     );
     drop(idle);
-    assert_eq!(r.ask("POST", "/v2/models/f/infer", ONCE, b"{}").0, 200);
+    assert_eq!(
+        r.ask("POST", "/v2/models/f/infer", NON_IDEMPOTENT, b"{}").0,
+        200
+    );
 }
 
 #[test]
-fn versions_raw_tensors_and_the_index() {
+fn versions_raw_tensors_and_the_index_are_served() {
     let r = start("rest-more", Duration::from_millis(1));
-    let (status, text) = r.ask("POST", "/v2/models/once%3Af/versions/2/infer", ONCE, b"{}");
+    let (status, text) = r.ask(
+        "POST",
+        "/v2/models/once%3Af/versions/2/infer",
+        NON_IDEMPOTENT,
+        b"{}",
+    );
     assert!(
         status == 200 && text.contains(r#""model_name":"once:f/versions/2""#),
         "{text}"
@@ -217,7 +243,10 @@
     let json =
         br#"{"inputs":[{"name":"x","datatype":"FP32","shape":[1],"parameters":{"binary_data_size":4}}]}"#;
     let body = [json.as_slice(), &[0, 1, 254, 255]].concat();
-    let headers = format!("{ONCE}inference-header-content-length: {}\r\n", json.len());
+    let headers = format!(
+        "{NON_IDEMPOTENT}inference-header-content-length: {}\r\n",
+        json.len()
+    );
     let mut stream = r.send("POST", "/v2/models/f/infer", &headers, &body);
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).expect("answered");
@@ -231,7 +260,7 @@
         text.contains("inference-header-content-length: ") && text.contains("octet-stream"),
         "{text}"
     );
-    let beyond = format!("{ONCE}inference-header-content-length: 500\r\n");
+    let beyond = format!("{NON_IDEMPOTENT}inference-header-content-length: 500\r\n");
     let (status, text) = r.ask("POST", "/v2/models/f/infer", &beyond, b"{}");
     assert!(
         status == 400 && text.contains("beyond the body's end"),
@@ -240,38 +269,47 @@
 }
 
 #[test]
-fn a_body_of_64_mb_passes_and_one_beyond_does_not() {
+fn a_body_at_the_limit_of_64_mb_is_accepted_and_a_larger_one_rejected() {
     let r = start_with("rest-large", Duration::from_millis(1), 64 * 1024, 200, "");
     let mut body = vec![b' '; 64 << 20];
     (body[0], body[(64 << 20) - 1]) = (b'{', b'}');
-    assert_eq!(r.ask("POST", "/v2/models/f/infer", PATIENT, &body).0, 200);
+    assert_eq!(
+        r.ask("POST", "/v2/models/f/infer", LONG_TIMEOUT, &body).0,
+        200
+    );
     body.push(b' ');
-    assert_eq!(r.ask("POST", "/v2/models/f/infer", PATIENT, &body).0, 413);
-    assert_eq!(r.ask("POST", "/v2/models/f/infer", PATIENT, b"{}").0, 200);
+    assert_eq!(
+        r.ask("POST", "/v2/models/f/infer", LONG_TIMEOUT, &body).0,
+        413
+    );
+    assert_eq!(
+        r.ask("POST", "/v2/models/f/infer", LONG_TIMEOUT, b"{}").0,
+        200
+    );
 }
 
-/// Longer than told: what is beyond is read as the next request, and refused as one.
+/// Also checks a body that is longer than its content-length: the excess is read as the next request and rejected.
 #[test]
-fn half_closed_flooded_and_overlong() {
+fn half_closed_endless_and_overlong_requests_affect_no_other_client() {
     let r = start("rest-odd", Duration::from_millis(500));
-    // Half-closed cannot be told from gone: its dispatch is called back.
-    let stream = r.send("POST", "/v2/models/f/infer", ONCE, b"{}");
+    // A half-closed connection cannot be distinguished from a closed one, so the dispatch is cancelled.
+    let stream = r.send("POST", "/v2/models/f/infer", NON_IDEMPOTENT, b"{}");
     stream.shutdown(std::net::Shutdown::Write).expect("shut");
     assert_eq!(read(stream).0, 0);
     let before = r.received();
-    let mut stream = TcpStream::connect(r.address).expect("it listens");
+    let mut stream = TcpStream::connect(r.address).expect("the router listens");
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("set");
     let head = format!(
-        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{ONCE}content-length: 2\r\n\r\n{{}}GARBAGE\r\n\r\n"
+        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{NON_IDEMPOTENT}content-length: 2\r\n\r\n{{}}GARBAGE\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).expect("written");
     let (status, text) = read(stream);
     assert!(status == 200 && text.contains("HTTP/1.1 400"), "{text}");
     assert_eq!(r.received(), before + 1);
-    // Headers without end.
-    let mut stream = TcpStream::connect(r.address).expect("it listens");
+    // Endless headers.
+    let mut stream = TcpStream::connect(r.address).expect("the router listens");
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("set");
@@ -279,18 +317,22 @@
     (0..10_000).for_each(|n| drop(stream.write_all(format!("x-{n}: {n}\r\n").as_bytes())));
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
-    assert!(comes(
-        || r.ask("POST", "/v2/models/f/infer", ONCE, b"{}").0 == 200
-    ));
+    assert!(eventually(|| r
+        .ask("POST", "/v2/models/f/infer", NON_IDEMPOTENT, b"{}")
+        .0
+        == 200));
 }
 
-/// A client's own retry while the first is out: one dispatch, the same answer to both.
+/// A client retries while its first request is dispatched: there is one dispatch, and both requests get the same answer.
 #[test]
-fn the_same_token_twice_at_once_is_one_dispatch() {
+fn concurrent_requests_with_one_idempotency_key_are_dispatched_once() {
     let r = start("rest-token", Duration::from_secs(1));
-    let headers = format!("{PATIENT}idempotency-key: k1\r\n");
+    let headers = format!("{LONG_TIMEOUT}idempotency-key: k1\r\n");
     let first = r.send("POST", "/v2/models/f/infer", &headers, b"{}");
-    assert!(comes(|| r.received() == 1), "the first is out");
+    assert!(
+        eventually(|| r.received() == 1),
+        "the first request is dispatched"
+    );
     let second = r.send("POST", "/v2/models/f/infer", &headers, b"{}");
     let (first, second) = (read(first), read(second));
     assert_eq!((first.0, second.0), (200, 200));
@@ -299,26 +341,26 @@
     assert_eq!(r.received(), 1);
 }
 
-/// Bodies that are only promised count against the memory bound: beyond it a request is turned away unread.
+/// Bodies that are announced but not yet received count against the memory limit; above it, a request is rejected unread.
 #[test]
-fn promised_bodies_are_bounded() {
+fn announced_bodies_count_against_the_memory_limit() {
     let r = start("rest-promised", Duration::from_millis(1));
     let head = format!(
-        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{ONCE}content-length: {MOST_BODY}\r\n\r\n"
+        "POST /v2/models/f/infer HTTP/1.1\r\nhost: x\r\n{NON_IDEMPOTENT}content-length: {MAX_BODY_BYTES}\r\n\r\n"
     );
     let promise = || {
-        let mut stream = TcpStream::connect(r.address).expect("it listens");
+        let mut stream = TcpStream::connect(r.address).expect("the router listens");
         stream.write_all(head.as_bytes()).expect("written");
         stream
     };
-    let promised: Vec<TcpStream> = (0..(1 << 20) / MOST_BODY).map(|_| promise()).collect();
-    assert!(comes(|| r
-        .ask("POST", "/v2/models/f/infer", PATIENT, b"{}")
+    let promised: Vec<TcpStream> = (0..(1 << 20) / MAX_BODY_BYTES).map(|_| promise()).collect();
+    assert!(eventually(|| r
+        .ask("POST", "/v2/models/f/infer", LONG_TIMEOUT, b"{}")
         .0
         == 429));
     drop(promised);
-    assert!(comes(|| r
-        .ask("POST", "/v2/models/f/infer", PATIENT, b"{}")
+    assert!(eventually(|| r
+        .ask("POST", "/v2/models/f/infer", LONG_TIMEOUT, b"{}")
         .0
         == 200));
 }
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -1,5 +1,5 @@
-//! A running router with a front for callers, before a stand-in worker.
-#![allow(dead_code)] // Each test file uses its part.
+//! Harness that runs a router with a KServe front and an emulated worker.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -14,12 +14,17 @@
 use cedarpulley_emulators::worker::{IdempotencyStore, InvocationProfile, Worker, WorkerProfile};
 use rustix::process::{Pid, Signal, kill_process};
 
-pub const MOST_BODY: usize = 64 * 1024;
+/// Default limit of a request body.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
+/// A running router with its worker. The router process is killed on drop.
 pub struct Running {
     pub router: Child,
+    /// Address of the KServe front.
     pub address: SocketAddr,
+    /// Folder of the router's settings and traces.
     pub folder: PathBuf,
+    /// Folder of the logs of the emulators.
     logs: PathBuf,
     pub worker: Worker,
     _store: Store,
@@ -32,31 +37,37 @@
     }
 }
 
-/// So many ports were given to tests of this process, or were taken.
-static GIVEN: AtomicU16 = AtomicU16::new(0);
+/// Number of ports that tests of this process have tried so far.
+static PORTS_TRIED: AtomicU16 = AtomicU16::new(0);
 
-/// Ports that no system gives out by itself, neither to a listener that asks for any nor to a client.
+/// First of the ports for tests. These ports are below the ephemeral range, so that the system assigns them neither to a
+/// listener on port 0 nor to a client.
 const FIRST_PORT: u16 = 10_000;
-const PORTS: u16 = 20_000;
+/// Number of the ports for tests.
+const PORT_COUNT: u16 = 20_000;
 
-/// A port that is free now and that no other test was given. Symptom: one that the system had given out is free
-/// again until the router listens, so another test's router, worker or client got it, and clients called that.
+/// Returns an address whose port is free and that no other test of this process uses. A port assigned by the system would
+/// be free again until the router listens: the router, worker or client of another test got the same port, and the clients
+/// connected to that process.
 pub fn free_address() -> SocketAddr {
-    let first = (std::process::id() % u32::from(PORTS)) as u16;
-    let next = || FIRST_PORT + first.wrapping_add(GIVEN.fetch_add(1, Ordering::Relaxed)) % PORTS;
-    let mut addresses = (0..PORTS).map(|_| SocketAddr::from(([127, 0, 0, 1], next())));
-    // Not bound to see: a router that another test starts just then holds a copy of that listener until it runs.
+    let first = (std::process::id() % u32::from(PORT_COUNT)) as u16;
+    let next = || {
+        FIRST_PORT + first.wrapping_add(PORTS_TRIED.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT
+    };
+    let mut addresses = (0..PORT_COUNT).map(|_| SocketAddr::from(([127, 0, 0, 1], next())));
+    // The check connects instead of binding: a router process that another test starts at that moment would inherit the
+    // listener and hold it until its exec.
     addresses
         .find(|a| TcpStream::connect(a).is_err())
         .expect("a free port")
 }
 
-/// A router with one worker whose invocations take so long.
+/// Starts a router with one worker whose invocations take `work`.
 pub fn start(name: &str, work: Duration) -> Running {
-    start_with(name, work, MOST_BODY / 1024, 1, "")
+    start_with(name, work, MAX_BODY_BYTES / 1024, 1, "")
 }
 
-/// With bodies up to `body_kb`, so many megabytes for all of them, and more lines for its front.
+/// Starts a router with bodies of up to `body_kb` KiB, `memory_mb` MB for all bodies, and further settings for its front.
 #[allow(
     clippy::too_many_lines,
     reason = "one scenario or table of cases, told in order"
@@ -69,19 +80,19 @@
     front: &str,
 ) -> Running {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // What an earlier run left must not be read as this one's.
+    // Traces of an earlier run must not be read as traces of this run.
     let _ = std::fs::remove_dir_all(folder.join("traces"));
     std::fs::create_dir_all(&folder).expect("a folder");
     let logs = folder.join("traffic");
-    let ground = Host::new(2, Some(&logs)).expect("a ground");
+    let host = Host::new(2, Some(&logs)).expect("a host");
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let nature = store::StoreProfile {
+    let profile = store::StoreProfile {
         mb_per_s: 1e6,
         full_rate_fetches: 8,
         max_fetches: 100,
     };
-    let store = Store::start(&ground, "store", any, nature).expect("a store");
-    let nature = WorkerProfile::unlimited(100.0);
+    let store = Store::start(&host, "store", any, profile).expect("a store");
+    let profile = WorkerProfile::unlimited(100.0);
     let (start_up, prefix) = (Duration::from_millis(1), Duration::ZERO);
     let program = InvocationProfile {
         mean_work: work,
@@ -94,11 +105,11 @@
     let programs = ["once", "again", "patient"].map(|k| (k.to_owned(), program.clone()));
     let (at, programs) = (store.server.address, HashMap::from(programs));
     let worker = Worker::start(
-        &ground,
+        &host,
         "worker",
         any,
         1,
-        nature,
+        profile,
         at,
         programs,
         IdempotencyStore::default(),
@@ -138,13 +149,14 @@
 }
 
 impl Running {
-    /// So many invocations have reached the worker.
+    /// Returns the number of invocations that have reached the worker.
     pub fn received(&self) -> usize {
         self.logged(r#""what":"received""#)
     }
 
+    /// Sends a request on a new connection.
     pub fn send(&self, method: &str, path: &str, headers: &str, body: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.address).expect("it listens");
+        let mut stream = TcpStream::connect(self.address).expect("the router listens");
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
             .expect("set");
@@ -153,16 +165,17 @@
             "{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {length}\r\n{headers}\r\n"
         );
         stream.write_all(head.as_bytes()).expect("written");
-        // A router that has said no already may not read all of it.
+        // A router that has already rejected the request may not read the whole body.
         let _ = stream.write_all(body);
         stream
     }
 
-    /// Status, and head and body as text.
+    /// Sends a request and returns the status of the answer, and its head and body as text.
     pub fn ask(&self, method: &str, path: &str, headers: &str, body: &[u8]) -> (u16, String) {
         read(self.send(method, path, headers, body))
     }
 
+    /// Returns how often the word occurs in the worker's log.
     pub fn logged(&self, word: &str) -> usize {
         self.worker.flush();
         let text = std::fs::read_to_string(self.logs.join("worker.ndjson")).expect("a log");
@@ -170,6 +183,7 @@
     }
 }
 
+/// Reads an answer until the connection is closed; returns its status (0 without an answer) and its text.
 pub fn read(mut stream: TcpStream) -> (u16, String) {
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
@@ -183,8 +197,8 @@
     )
 }
 
-/// Waits for it to hold; false if it does not within ten seconds.
-pub fn comes(mut holds: impl FnMut() -> bool) -> bool {
+/// Waits until the condition holds; returns false if it does not hold within ten seconds.
+pub fn eventually(mut holds: impl FnMut() -> bool) -> bool {
     let until = Instant::now() + Duration::from_secs(10);
     while Instant::now() < until {
         if holds() {
@@ -196,15 +210,16 @@
 }
 
 impl Running {
-    pub fn told_to_stop(&self) {
+    /// Sends SIGTERM to the router.
+    pub fn request_stop(&self) {
         let pid = Pid::from_raw(self.router.id() as i32).expect("a pid");
-        kill_process(pid, Signal::TERM).expect("told");
+        kill_process(pid, Signal::TERM).expect("signalled");
     }
 
-    /// Ended by itself and in good order.
-    pub fn ended_well(&mut self) -> bool {
+    /// Waits for the router to exit; returns whether it exits with code 0.
+    pub fn exits_successfully(&mut self) -> bool {
         let mut code = None;
-        comes(|| {
+        eventually(|| {
             code = self.router.try_wait().expect("waited").map(|s| s.code());
             code.is_some()
         });
--- a/crates/cli/tests/running_state_names.rs
+++ b/crates/cli/tests/running_state_names.rs
@@ -1,6 +1,6 @@
-//! The key paths of `GET /state` and the metrics of `GET /metrics`, with their labels, of a running group with upgrades
-//! and reconciliation: those in `fixtures/running-state-names.txt` and `fixtures/running-metric-names.txt`. Objects whose
-//! keys are names of things are not followed; `crates/gateway/tests/state_names.rs` has the names of states.
+//! Compares the key paths of `GET /state` and the metric and label names of `GET /metrics` of a running group, with upgrades
+//! and reconciliation, with `fixtures/running-state-names.txt` and `fixtures/running-metric-names.txt`. Objects whose keys
+//! are data are not followed; `crates/gateway/tests/state_names.rs` checks the names of states.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -15,15 +15,16 @@
 mod pinned;
 mod upgrading;
 use fleets::{PATIENCE, PROGRAM, TURNS};
-use pinned::{fixtures, lines, paths, same_as_kept};
+use pinned::{assert_equals_fixture, fixtures, lines, paths};
 use upgrading::{order, orders_nothing, upgrading};
 
 const STATE: &str = "running-state-names.txt";
 const METRICS: &str = "running-metric-names.txt";
-/// Only a failing test waits so long; else all is seen within seconds of the order.
-const SHOWN: Duration = Duration::from_secs(60);
-/// Their keys are stages of records, members, functions and kinds.
-const OPEN: [&str; 6] = [
+/// Time within which all names must be seen. They are normally seen within seconds of the upgrade order; only a failing
+/// test waits this long.
+const NAMES_TIMEOUT: Duration = Duration::from_secs(60);
+/// Objects whose keys are data: stages of records, members, functions and kinds.
+const DATA_KEYED: [&str; 6] = [
     "records",
     "open",
     "claims",
@@ -32,11 +33,13 @@
     "reconcile.workers[].found_by",
 ];
 
-fn kept(name: &str) -> BTreeSet<String> {
+/// Returns the names in a fixture.
+fn expected(name: &str) -> BTreeSet<String> {
     let text = std::fs::read_to_string(fixtures().join(name)).expect("a fixture");
     text.lines().map(str::to_owned).collect()
 }
 
+/// Returns the metrics text of a router, if it answers.
 fn metrics(fleet: &Cluster, n: usize) -> Option<String> {
     let mut stream = TcpStream::connect(fleet.peer_address(n)?).ok()?;
     let request = b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
@@ -46,7 +49,7 @@
     Some(answer.split_once("\r\n\r\n")?.1.to_owned())
 }
 
-/// The name with the names of its labels.
+/// Returns the name of the metric in a line, with the names of its labels.
 fn metric(line: &str) -> Option<String> {
     let name = line.rsplit_once(' ')?.0;
     let Some((name, labels)) = name.trim_end_matches('}').split_once('{') else {
@@ -57,17 +60,19 @@
     Some(format!("{name}{{{}}}", labels.join(",")))
 }
 
+/// The names that the routers have shown so far.
 #[derive(Default)]
-struct Seen {
+struct CollectedNames {
     state: BTreeSet<String>,
     metrics: BTreeSet<String>,
 }
 
-impl Seen {
-    fn look(&mut self, fleet: &Cluster) {
+impl CollectedNames {
+    /// Adds the names that the routers show now.
+    fn collect(&mut self, fleet: &Cluster) {
         for n in 0..fleet.routers.len() {
             if let Some(state) = fleet.state(n) {
-                paths(&state, "", &OPEN, &mut self.state);
+                paths(&state, "", &DATA_KEYED, &mut self.state);
             }
             let text = metrics(fleet, n).unwrap_or_default();
             let values = text.lines().filter(|l| !l.starts_with('#'));
@@ -87,18 +92,22 @@
         trace: false,
     };
     let day = upgrading(|day| day.seconds = 15.0);
-    let fleet = Cluster::prepare(&day, launch).expect("a fleet");
+    let fleet = Cluster::prepare(&day, launch).expect("a cluster");
     orders_nothing(&fleet);
-    fleet.start_routers().expect("they come up");
+    fleet.start_routers().expect("the routers start");
     let _traffic = Traffic::begin(&day, &fleet);
     order(&fleet, 5_000);
-    let (state, metrics, mut seen) = (kept(STATE), kept(METRICS), Seen::default());
-    until(SHOWN, || {
+    let (state, metrics, mut seen) = (
+        expected(STATE),
+        expected(METRICS),
+        CollectedNames::default(),
+    );
+    until(NAMES_TIMEOUT, || {
         std::thread::sleep(Duration::from_millis(100));
-        seen.look(&fleet);
+        seen.collect(&fleet);
         state.is_subset(&seen.state) && metrics.is_subset(&seen.metrics)
     });
-    assert!(fleet.stop(PATIENCE), "the routers end in good order");
-    same_as_kept(STATE, &lines(&seen.state));
-    same_as_kept(METRICS, &lines(&seen.metrics));
+    assert!(fleet.stop(PATIENCE), "the routers exit successfully");
+    assert_equals_fixture(STATE, &lines(&seen.state));
+    assert_equals_fixture(METRICS, &lines(&seen.metrics));
 }
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -1,4 +1,5 @@
-//! TLS of a running router: both fronts, certificates replaced while streams stand, accounts by certificate.
+//! Tests TLS of a running router: the KServe and AMQP fronts, replacement of certificates while connections are open, and
+//! accounts given by client certificates.
 
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::fs::PermissionsExt;
@@ -22,14 +23,15 @@
 use smol_hyper::rt::FuturesIo;
 
 mod running;
-use running::{Running, comes, start_with};
+use running::{Running, eventually, start_with};
 
-/// An authority and what it has signed.
+/// A certificate authority that signs the certificates of a test.
 struct Authority {
     issuer: Issuer<'static, KeyPair>,
     pem: String,
 }
 
+/// A certificate and its private key, in PEM.
 struct Pair {
     certificate: String,
     key: String,
@@ -47,6 +49,7 @@
         }
     }
 
+    /// Signs a certificate for `localhost` with this common name, valid until the start of `last_year`.
     fn pair(&self, name: &str, last_year: i32) -> Pair {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(vec!["localhost".to_owned()]).expect("a name");
@@ -59,6 +62,7 @@
         }
     }
 
+    /// Returns a client that trusts this authority, with a client certificate if one is given.
     fn client(&self, own: Option<&Pair>) -> TlsConnector {
         let mut roots = RootCertStore::empty();
         roots
@@ -94,12 +98,14 @@
     std::fs::set_permissions(&file, std::fs::Permissions::from_mode(mode)).expect("set");
 }
 
+/// Writes a certificate and its key with the file modes that the router requires.
 fn put(folder: &Path, pair: &Pair) {
     write(folder, "certificate.pem", &pair.certificate, 0o644);
     write(folder, "key.pem", &pair.key, 0o600);
 }
 
-const FILES: &str = "certificate = \"certificate.pem\"\nkey = \"key.pem\"\n";
+/// Settings of a front with TLS.
+const TLS_SETTINGS: &str = "certificate = \"certificate.pem\"\nkey = \"key.pem\"\n";
 
 async fn connect(
     connector: &TlsConnector,
@@ -111,12 +117,13 @@
         .await
 }
 
-fn shown(stream: &TlsStream<Async<TcpStream>>) -> Vec<u8> {
+/// Returns the certificate that the router presents.
+fn presented_certificate(stream: &TlsStream<Async<TcpStream>>) -> Vec<u8> {
     stream
         .get_ref()
         .1
         .peer_certificates()
-        .expect("one is shown")[0]
+        .expect("a certificate")[0]
         .to_vec()
 }
 
@@ -154,38 +161,46 @@
 }
 
 #[test]
-fn a_certificate_is_replaced_and_no_stream_is_dropped() {
+fn a_certificate_is_replaced_without_dropping_connections() {
     let (authority, here) = (Authority::new(), folder("tls-replaced"));
     let (old, new) = (authority.pair("old", 2100), authority.pair("new", 2100));
     put(&here, &old);
-    let r: Running = start_with("tls-replaced", Duration::from_millis(2500), 64, 1, FILES);
+    let r: Running = start_with(
+        "tls-replaced",
+        Duration::from_millis(2500),
+        64,
+        1,
+        TLS_SETTINGS,
+    );
     let connector = authority.client(None);
     async_io::block_on(async {
         let stream = connect(&connector, r.address).await.expect("a handshake");
-        let first = shown(&stream);
-        let standing = ask(stream, &[]);
+        let first = presented_certificate(&stream);
+        let open_request = ask(stream, &[]);
         let replacing = async {
             Timer::after(Duration::from_millis(300)).await;
-            // A key that others may read changes nothing.
+            // A key that other users may read is not loaded.
             write(&here, "key.pem", &new.key, 0o644);
             write(&here, "certificate.pem", &new.certificate, 0o644);
             Timer::after(Duration::from_millis(1300)).await;
             assert_eq!(
-                shown(&connect(&connector, r.address).await.expect("a handshake")),
+                presented_certificate(&connect(&connector, r.address).await.expect("a handshake")),
                 first
             );
             put(&here, &new);
             Timer::after(Duration::from_millis(200)).await;
         };
-        let (answer, ()) = futures_lite::future::zip(standing, replacing).await;
+        let (answer, ()) = futures_lite::future::zip(open_request, replacing).await;
         assert_eq!(
             answer.map(|a| a.0),
             Some(200),
-            "the stream that stood was answered"
+            "the request on the open connection was answered"
         );
         let mut changed = false;
         for _ in 0..40 {
-            changed = shown(&connect(&connector, r.address).await.expect("a handshake")) != first;
+            changed =
+                presented_certificate(&connect(&connector, r.address).await.expect("a handshake"))
+                    != first;
             if changed {
                 break;
             }
@@ -196,12 +211,12 @@
 }
 
 #[test]
-fn a_client_certificate_speaks_for_its_account_and_no_other() {
+fn a_client_certificate_authorizes_only_its_account() {
     let (authority, here) = (Authority::new(), folder("tls-mutual"));
     put(&here, &authority.pair("server", 2100));
     write(&here, "clients.pem", &authority.pem, 0o644);
     let front = format!(
-        "{FILES}clients = \"clients.pem\"\n[[account]]\nname = \"amber\"\nshare = 0.5\ncertificate_names = [\"a\"]\n\
+        "{TLS_SETTINGS}clients = \"clients.pem\"\n[[account]]\nname = \"amber\"\nshare = 0.5\ncertificate_names = [\"a\"]\n\
          [[account]]\nname = \"birch\"\nshare = 0.5\n"
     );
     let r = start_with("tls-mutual", Duration::from_millis(5), 64, 1, &front);
@@ -223,7 +238,7 @@
     let (status, text) =
         asked(by(Some("a")), &[("cedarpulley-account", "birch")]).expect("answered");
     assert!(status == 400 && text.contains("certificate"), "{text}");
-    // Given to no account; none shown; from another authority.
+    // A name that no account lists; no certificate; a certificate of another authority.
     assert_eq!(asked(by(Some("b")), &[]), None);
     assert_eq!(asked(by(None), &[]), None);
     let stranger = Authority::new().pair("a", 2100);
@@ -232,13 +247,13 @@
 }
 
 #[test]
-fn check_names_what_is_wrong_with_a_certificate() {
+fn check_prints_the_fault_of_a_certificate() {
     let (authority, here) = (Authority::new(), folder("tls-check"));
     let good = authority.pair("server", 2100);
     let file = here.join("router.toml");
     let text = format!(
         "[[trigger]]\nname = \"once\"\neffect = \"idempotent\"\nlatency_objective_ms = 900\nclient_timeout_ms = 3000\n\
-         [[kserve]]\nlisten = \"127.0.0.1:9\"\n{FILES}[workers]\nlist = [{{ address = \"127.0.0.1:8\" }}]\n"
+         [[kserve]]\nlisten = \"127.0.0.1:9\"\n{TLS_SETTINGS}[workers]\nlist = [{{ address = \"127.0.0.1:8\" }}]\n"
     );
     std::fs::write(&file, text).expect("written");
     let check = || {
@@ -254,7 +269,7 @@
     };
     put(&here, &good);
     assert_eq!(check().0, Some(0), "{}", check().1);
-    let refused = |line: &str, cause: &str| {
+    let assert_rejected = |line: &str, cause: &str| {
         let (code, text) = check();
         assert!(
             code == Some(2) && text.contains(line) && text.contains(cause),
@@ -262,7 +277,7 @@
         );
     };
     write(&here, "key.pem", &good.key, 0o644);
-    refused("router.toml:9: kserve[0].key", "may be read by others");
+    assert_rejected("router.toml:9: kserve[0].key", "may be read by others");
     put(
         &here,
         &Pair {
@@ -270,14 +285,14 @@
             ..good
         },
     );
-    refused("router.toml:9: kserve[0].key", "does not belong");
+    assert_rejected("router.toml:9: kserve[0].key", "does not belong");
     put(&here, &authority.pair("server", 2001));
-    refused("router.toml:8: kserve[0].certificate", "expired");
+    assert_rejected("router.toml:8: kserve[0].certificate", "expired");
     std::fs::remove_file(here.join("certificate.pem")).expect("removed");
-    refused("router.toml:8: kserve[0].certificate", "No such file");
+    assert_rejected("router.toml:8: kserve[0].certificate", "No such file");
 }
 
-/// The broker stand-in speaks no TLS: something before it does.
+/// The emulated broker does not support TLS, so a relay in front of it terminates TLS.
 #[test]
 #[expect(
     clippy::too_many_lines,
@@ -297,15 +312,15 @@
         .expect("a pair");
     let acceptor = TlsAcceptor::from(Arc::new(config));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let ground = Host::new(2, Some(&here.join("broker"))).expect("a ground");
-    let broker = Broker::start(&ground, "broker", any).expect("a broker");
+    let host = Host::new(2, Some(&here.join("broker"))).expect("a host");
+    let broker = Broker::start(&host, "broker", any).expect("a broker");
     broker.declare("q");
     let (inner, listener) = (
         broker.address,
         Async::<std::net::TcpListener>::bind(any).expect("bound"),
     );
     let outer = listener.get_ref().local_addr().expect("an address");
-    let executor = ground.executor.clone();
+    let executor = host.executor.clone();
     let relay = async move {
         while let Ok((stream, _)) = listener.accept().await {
             let acceptor = acceptor.clone();
@@ -324,7 +339,7 @@
             executor.spawn(pass).detach();
         }
     };
-    ground.executor.spawn(relay).detach();
+    host.executor.spawn(relay).detach();
     let more = |name: &str| {
         format!(
             "[[amqp]]\nbroker = \"{outer}\"\nqueue = \"q\"\nauthorities = \"authorities.pem\"\nserver_name = \"{name}\"\n"
@@ -337,10 +352,10 @@
         1,
         &more("localhost"),
     );
-    assert!(comes(|| broker.consumers() == 1));
+    assert!(eventually(|| broker.consumers() == 1));
     drop(r);
-    assert!(comes(|| broker.consumers() == 0));
-    // A broker that goes by another name is not spoken to.
+    assert!(eventually(|| broker.consumers() == 0));
+    // The router does not connect to a broker whose certificate has another name.
     let _r = start_with(
         "tls-broker",
         Duration::from_millis(5),
--- a/crates/cli/tests/trace_output.rs
+++ b/crates/cli/tests/trace_output.rs
@@ -1,8 +1,8 @@
-//! What `cedarpulley trace` prints of kept files is byte for byte as in `fixtures/trace-output.txt`. `causes.trace` was
-//! written once by the example `pinned_trace` of `crates/trace`.
+//! Compares the output of `cedarpulley trace` for stored trace files with `fixtures/trace-output.txt`, byte for byte.
+//! `causes.trace` was written once by the example `pinned_trace` of `crates/trace`.
 //!
-//! What depends on this build's decisions (`replay`) is held by its names only: the keys of its JSON, and what was
-//! recorded.
+//! The output of `replay` depends on the decisions of the balancer of this build. Only its names are compared: the keys of
+//! its JSON, and the recorded actions.
 
 mod pinned;
 
@@ -11,20 +11,20 @@
 
 use pinned::*;
 
-const CAUSES: &str = "cli/tests/fixtures/causes.trace";
-const RECORDS: &str = "trace/tests/fixtures/format-3.trace";
-const TWO: &str = "trace/tests/kept/format-2.trace";
-/// Seconds since 1970 at which the loads of `causes.trace` begin.
-const LOADS_AT: &str = "1700000100";
+const CAUSES_TRACE: &str = "cli/tests/fixtures/causes.trace";
+const FORMAT_3_TRACE: &str = "trace/tests/fixtures/format-3.trace";
+const FORMAT_2_TRACE: &str = "trace/tests/kept/format-2.trace";
+/// Seconds since 1970 at which the loads in `causes.trace` begin.
+const LOADS_BEGIN_S: &str = "1700000100";
 
 fn crates() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// The command, its exit code, and what it printed.
-fn said(args: &[&str]) -> String {
+/// Returns the command, its output and its exit code.
+fn run_trace(args: &[&str]) -> String {
     let output = run_in(&crates(), &[&["trace"], args].concat());
-    let code = output.status.code().expect("it ends by itself");
+    let code = output.status.code().expect("the program exits by itself");
     let (out, err) = (text(&output.stdout), text(&output.stderr));
     assert!(err.is_empty(), "{args:?}: {err}");
     format!("$ trace {}\n{out}ends with {code}\n\n", args.join(" "))
@@ -33,34 +33,37 @@
 #[test]
 fn printed_names_and_json_keys_stay() {
     let mut all = String::new();
-    for file in [CAUSES, RECORDS, TWO] {
-        all += &said(&["verify", file]);
-        all += &said(&["summary", file]);
-        all += &said(&["summary", "--json", file]);
-        all += &said(&["rules", file]);
-        all += &said(&["rules", "--json", file]);
-        all += &said(&["explain", file]);
-        all += &said(&["explain", "--json", file]);
+    for file in [CAUSES_TRACE, FORMAT_3_TRACE, FORMAT_2_TRACE] {
+        all += &run_trace(&["verify", file]);
+        all += &run_trace(&["summary", file]);
+        all += &run_trace(&["summary", "--json", file]);
+        all += &run_trace(&["rules", file]);
+        all += &run_trace(&["rules", "--json", file]);
+        all += &run_trace(&["explain", file]);
+        all += &run_trace(&["explain", "--json", file]);
     }
-    all += &said(&["explain", "--until", LOADS_AT, CAUSES]);
-    all += &said(&["explain", "--from", LOADS_AT, CAUSES]);
-    // One that was answered, one that was late, lost, called back and held.
+    all += &run_trace(&["explain", "--until", LOADS_BEGIN_S, CAUSES_TRACE]);
+    all += &run_trace(&["explain", "--from", LOADS_BEGIN_S, CAUSES_TRACE]);
+    // Invocations that were answered, late, lost, cancelled and queued.
     for mark in [
         "mark-1", "mark-3", "mark-11", "mark-12", "mark-15", "mark-18", "mark-19",
     ] {
-        all += &said(&["show", mark, CAUSES]);
+        all += &run_trace(&["show", mark, CAUSES_TRACE]);
     }
-    same_as_kept("trace-output.txt", &all);
+    assert_equals_fixture("trace-output.txt", &all);
 }
 
 #[test]
 fn a_comparison_keeps_the_keys_of_its_json() {
-    let output = run_in(&crates(), &["trace", "replay", "--all", "--json", CAUSES]);
+    let output = run_in(
+        &crates(),
+        &["trace", "replay", "--all", "--json", CAUSES_TRACE],
+    );
     assert_eq!(output.status.code(), Some(1), "{}", text(&output.stderr));
     let printed = text(&output.stdout);
     let json = &printed[printed.find("{\n").expect("an object")..];
     let mut all = BTreeSet::new();
-    // A kind of two parts is an object, one of its own a word; `trace/tests/printed_names.rs` has them all.
+    // A kind with fields is an object, one without fields a string; `trace/tests/printed_names.rs` checks all of them.
     let value: serde_json::Value = serde_json::from_str(json).expect("JSON");
     for (key, value) in value.as_object().expect("an object") {
         all.insert(key.clone());
@@ -71,12 +74,12 @@
                 .for_each(|c| paths(&c[1], "by_kind[][1]", &[], &mut all));
         }
     }
-    same_as_kept("trace-comparison-names.txt", &lines(&all));
+    assert_equals_fixture("trace-comparison-names.txt", &lines(&all));
 }
 
 #[test]
-fn the_first_difference_is_told_by_the_names_of_events_and_actions() {
-    let output = run_in(&crates(), &["trace", "replay", CAUSES]);
+fn the_first_difference_is_printed_with_the_names_of_events_and_actions() {
+    let output = run_in(&crates(), &["trace", "replay", CAUSES_TRACE]);
     let printed = text(&output.stdout);
     let told: Vec<&str> = printed
         .lines()
