--- a/crates/cli/tests/days.rs
+++ b/crates/cli/tests/days.rs
@@ -210,7 +210,8 @@
                 count: source as u64,
             },
         );
-        let ledger = Ledger::open(&folder.join(format!("{router}.ledger"))).expect("it opens");
+        let ledger =
+            Ledger::open(&folder.join(format!("{router}.ledger"))).expect("the ledger opens");
         let part = cedarpulley_usage_metering::UsageDelta {
             sums,
             ..Default::default()
--- a/crates/cli/tests/discovery_outage.rs
+++ b/crates/cli/tests/discovery_outage.rs
@@ -77,9 +77,13 @@
     thread::sleep(
         (lost + COUNTS_AS_RECEIVED_AFTER + GRACE).saturating_duration_since(Instant::now()),
     );
-    let told = Instant::now();
+    let grace_over = Instant::now();
     let successes = successes(&w, 1_000);
-    assert_eq!(rejected_since(&w.seen, told), 0, "sends after the grace");
+    assert_eq!(
+        rejected_since(&w.seen, grace_over),
+        0,
+        "sends after the grace"
+    );
     assert_eq!(successes, REQUESTS as usize);
     assert!(second.lock().expect("seen").probes > 0);
 }
@@ -160,9 +164,13 @@
     assert_eq!(successes(&w, 1), REQUESTS as usize);
     let first_to_drain = drain(&w.seen);
     thread::sleep((first_to_drain + GRACE).saturating_duration_since(Instant::now()));
-    let told = Instant::now();
+    let grace_over = Instant::now();
     assert_eq!(successes(&w, 1_000), REQUESTS as usize);
-    assert_eq!(rejected_since(&w.seen, told), 0, "sends after the grace");
+    assert_eq!(
+        rejected_since(&w.seen, grace_over),
+        0,
+        "sends after the grace"
+    );
     // Discovery is available again and announces that the second worker has left.
     w.seen.lock().expect("seen").draining = false;
     drain(&second);
@@ -174,13 +182,13 @@
 /// A lagging discovery server answers each poll. Events that it did not have are received late, once it has caught up.
 #[test]
 fn a_drain_received_from_a_lagging_server_has_no_grace_left() {
-    let patient = |config: String| {
+    let with_long_times = |config: String| {
         probes_allowed(config).replace(
             "\"stopSendingWithin\":500000000",
             "\"stopSendingWithin\":600000000000",
         )
     };
-    let (w, at, second) = (World::with(37, patient), own(37), Shared::default());
+    let (w, at, second) = (World::with(37, with_long_times), own(37), Shared::default());
     worker(TcpListener::bind(at).expect("bind"), second.clone());
     // Only the first worker has the function loaded.
     assert_eq!(successes(&w, 1), REQUESTS as usize);
@@ -195,9 +203,9 @@
     w.until("the discovery server has caught up", |w| {
         w.channel.lock().expect("channel").asked.contains(&3)
     });
-    let told = drain(&w.seen);
+    let drain_start = drain(&w.seen);
     assert_eq!(successes(&w, 1_000), REQUESTS as usize);
-    assert_eq!(rejected_since(&w.seen, told), 0);
+    assert_eq!(rejected_since(&w.seen, drain_start), 0);
 }
 
 /// Without a free connection a health check ends at once. If it were repeated at once, it would delay all other work.
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -295,11 +295,11 @@
 #[test]
 fn nothing_is_sent_after_the_drain_grace_on_a_late_connection() {
     for absent in ["\"load\"", "\"miss\""] {
-        let patient = |c: String| {
+        let with_long_times = |c: String| {
             c.replace("\"miss\"", absent)
                 .replace("250000000", "30000000000")
         };
-        let (w, at, seen) = (World::with(18, patient), own(18), Shared::default());
+        let (w, at, seen) = (World::with(18, with_long_times), own(18), Shared::default());
         // The backlog is full with one connection that is not accepted; the next connection is established after that.
         let (listener, _first) = full_listener(at);
         w.tell(2, "s-2", at, "active");
@@ -347,7 +347,7 @@
 /// not from when the router receives the announcement.
 #[test]
 fn a_drain_received_late_has_no_grace_left() {
-    let patient = |c: String| {
+    let with_long_times = |c: String| {
         c.replace(
             "\"stopSendingWithin\":500000000",
             "\"stopSendingWithin\":600000000000",
@@ -355,7 +355,7 @@
         .replace("\"staysLoaded\":5000000000", "\"staysLoaded\":600000000000")
     };
     for late in [false, true] {
-        let (w, other, seen) = (World::with(22, patient), own(22), Shared::default());
+        let (w, other, seen) = (World::with(22, with_long_times), own(22), Shared::default());
         worker(TcpListener::bind(other).expect("bind"), seen.clone());
         assert_eq!(
             w.ask(&call(&id(1), "plain", GOOD, "", "x"))
--- a/crates/cli/tests/node_bad_input.rs
+++ b/crates/cli/tests/node_bad_input.rs
@@ -24,7 +24,7 @@
 }
 
 fn memory_kb(w: &World) -> u64 {
-    let process = procfs::process::Process::new(w.node.id() as i32).expect("it runs");
+    let process = procfs::process::Process::new(w.node.id() as i32).expect("the process runs");
     process.status().expect("a status").vmrss.expect("a size")
 }
 
@@ -178,11 +178,13 @@
 /// for it expire.
 #[test]
 fn bursts_of_invalid_answers_leave_nothing_behind() {
-    let brief = |c: String| {
+    let with_short_times = |c: String| {
         c.replace(":2000000000,", ":1000000,")
             .replace(":8000000000,", ":200000000,")
     };
-    let mut w = World::with(31, |c| brief(c.replace("\"sockets\":256", SOCKETS_LIMIT)));
+    let mut w = World::with(31, |c| {
+        with_short_times(c.replace("\"sockets\":256", SOCKETS_LIMIT))
+    });
     assert_served(&w, 1_000);
     let before = descriptors(&w);
     let mut broken = 0;
@@ -244,7 +246,7 @@
         let (mut stream, _) = listener.accept().expect("the router polls again");
         assert!(stream.read(&mut [0; 512]).expect("a request") > 0);
         stream.write_all(answer.as_bytes()).expect("sent");
-        // Wait until the router closes the connection or sends nothing more within the read.
+        // Wait until the router closes the connection after the unusable answer.
         while stream.read(&mut [0; 512]).is_ok_and(|n| n > 0) {}
     }
     assert_served(&w, 1_001);
@@ -289,8 +291,8 @@
         .collect();
     assert!(descriptors(&w) < 128);
     assert_served(&w, 1);
-    let told = w.channel.clone();
-    channel(TcpListener::bind(moved).expect("bind"), told);
+    let channel_state = w.channel.clone();
+    channel(TcpListener::bind(moved).expect("bind"), channel_state);
     let (other, seen) = (own(33), Shared::default());
     worker(TcpListener::bind(other).expect("bind"), seen.clone());
     w.tell(2, "s-2", other, "active");
--- a/crates/cli/tests/node_endings.rs
+++ b/crates/cli/tests/node_endings.rs
@@ -311,11 +311,11 @@
 /// by then.
 #[test]
 fn nothing_is_sent_to_the_old_address_of_a_moved_worker() {
-    let patient = |c: String| {
+    let with_long_times = |c: String| {
         c.replace("\"miss\"", "\"load\"")
             .replace("250000000", "30000000000")
     };
-    let (w, old, new) = (World::with(39, patient), own(39), own(39));
+    let (w, old, new) = (World::with(39, with_long_times), own(39), own(39));
     let (at_old, at_new) = (Shared::default(), Shared::default());
     let (listener, _first) = full_listener(old);
     worker(TcpListener::bind(new).expect("bind"), at_new.clone());
@@ -376,7 +376,7 @@
         }
         w.goes_on();
         if in_time {
-            assert!([200, 503].contains(&status(came.expect("it listens"))));
+            assert!([200, 503].contains(&status(came.expect("the router listens"))));
         }
         restart_after_exit(&mut w);
         if in_time {
--- a/crates/cli/tests/platform/mod.rs
+++ b/crates/cli/tests/platform/mod.rs
@@ -410,7 +410,7 @@
 
     /// Connects to the router.
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.address).expect("it listens");
+        let stream = TcpStream::connect(self.address).expect("the router listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         stream
     }
@@ -480,7 +480,8 @@
     /// Suspends the router process until [`World::goes_on`]. When this returns, the process is suspended.
     pub fn halt(&self) {
         self.signal(Signal::STOP);
-        let process = procfs::process::Process::new(self.node.id() as i32).expect("it runs");
+        let process =
+            procfs::process::Process::new(self.node.id() as i32).expect("the process runs");
         self.until("the process is suspended", |_| {
             process.stat().expect("a state").state == 'T'
         });
--- a/crates/cli/tests/tls.rs
+++ b/crates/cli/tests/tls.rs
@@ -261,7 +261,7 @@
             .arg("check")
             .arg(&file)
             .output()
-            .expect("it runs");
+            .expect("the process runs");
         (
             out.status.code(),
             String::from_utf8_lossy(&out.stderr).into_owned(),
