--- a/tests/decisions/attempts.rs
+++ b/tests/decisions/attempts.rs
@@ -21,7 +21,7 @@
 }
 
 /// Attempts that were too short for the work were repeated again and again, and filled the workers with work whose
-/// clients had left.
+/// clients had left. Seen in docs/incidents/i93b1a3.md.
 #[test]
 fn an_attempt_too_short_for_the_work_is_not_dispatched() {
     let mut script = Script::new(14, PLAIN, 4);
