--- a/crates/amqp/src/connection/transactions.rs
+++ b/crates/amqp/src/connection/transactions.rs
@@ -18,7 +18,8 @@
 }
 
 impl Transactions {
-    /// Adds an answer to the queue `reply_to`. The caller calls [`Self::acknowledge`] next, for the same transaction.
+    /// Collects an answer that is to be published to the queue `reply_to`. The caller calls [`Self::acknowledge`] next,
+    /// so that the answer and the acknowledgement are in the same transaction.
     pub(super) fn publish(
         &mut self,
         reply_to: &str,
--- a/crates/amqp/src/connection/types.rs
+++ b/crates/amqp/src/connection/types.rs
@@ -62,11 +62,11 @@
     Delivered(Box<Message>),
     /// The answers to these deliveries are committed.
     Committed(Vec<u64>),
-    /// The broker blocked the connection and accepts no publishes (true), or unblocked it (false).
+    /// The broker blocked the connection and accepts no messages (true), or unblocked it (false).
     Blocked(bool),
     /// The broker closed the channel; its delivery tags are no longer valid.
     ChannelLost {
-        /// A reply code of the specification.
+        /// The reply code, as defined by the AMQP specification.
         code: u16,
         /// The broker's reason.
         text: String,
@@ -75,7 +75,7 @@
     Cancelled,
     /// The connection was closed, by the broker or by this side.
     Closed {
-        /// A reply code of the specification.
+        /// The reply code, as defined by the AMQP specification.
         code: u16,
         /// The reason.
         text: String,
--- a/crates/cli/src/emulator.rs
+++ b/crates/cli/src/emulator.rs
@@ -1,4 +1,5 @@
-//! `cedarpulley standin ...`: runs one emulator of a surrounding system in the foreground, for manual trials.
+//! `cedarpulley standin ...`: runs one emulator (a broker, a worker, a store or an endpoint list) in the foreground,
+//! for manual trials.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -82,7 +83,7 @@
     }
 }
 
-/// Rejects addresses outside loopback, as emulators have no access control.
+/// Rejects an address that is not a loopback address, because emulators have no access control.
 fn require_loopback(address: SocketAddr) -> Result<SocketAddr, CliError> {
     if address.ip().is_loopback() {
         Ok(address)
@@ -91,7 +92,7 @@
     }
 }
 
-/// The runtime of an emulator, which writes its logs into the folder `logs` if one is given.
+/// Creates the runtime of an emulator, which writes its logs into the folder `logs` if one is given.
 fn host(logs: Option<PathBuf>) -> Result<Host, CliError> {
     Host::new(2, logs.as_deref()).map_err(CliError::EmulatorStart)
 }
@@ -114,7 +115,7 @@
 }
 
 fn run_worker(args: WorkerArgs) -> Result<(), CliError> {
-    let program = InvocationProfile {
+    let invocation_profile = InvocationProfile {
         mean_work: Duration::from_secs_f64(args.work_ms / 1e3),
         copy_mb: 1.0,
         start_up_time: Duration::from_millis(10),
@@ -133,7 +134,7 @@
         1,
         WorkerProfile::unlimited(args.cores),
         store,
-        HashMap::from([(args.trigger, program)]),
+        HashMap::from([(args.trigger, invocation_profile)]),
         IdempotencyStore::default(),
     )
     .map_err(CliError::EmulatorStart)?;
@@ -162,7 +163,7 @@
     run_forever("list", list.server.address)
 }
 
-/// The entry of a worker in service in the endpoint list.
+/// The endpoint list's entry for a worker that is in service.
 fn in_service(address: SocketAddr) -> EndpointRecord {
     EndpointRecord {
         address,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -117,8 +117,8 @@
     let subscriber = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr);
-    // Without this, a full disk of the log ends the process: reporting the failed write goes to the same log, fails
-    // too, and panics.
+    // Without this setting, the process ends when the disk of the log is full: the report of the failed write goes to
+    // the same log, and panics because it cannot be written either.
     let subscriber = subscriber.log_internal_errors(false);
     if json {
         subscriber.json().init()
@@ -127,7 +127,7 @@
     }
 }
 
-/// Runs a command; false if what it checks does not hold (exit code 1).
+/// Runs a command. Returns false if the command checks something that does not hold (exit code 1).
 fn execute(command: Command) -> Result<bool, CliError> {
     match command {
         Command::Serve {
@@ -156,7 +156,7 @@
 
 fn fail(error: &CliError) -> ExitCode {
     match error {
-        // Has one complete line for each cause already.
+        // The text of this error already has one complete line for each cause.
         CliError::Settings(_) => eprintln!("{error}"),
         _ => eprintln!("{}", error.line()),
     }
@@ -169,7 +169,7 @@
     settings::read(&path.display().to_string(), &text, rig).map_err(CliError::Settings)
 }
 
-/// The fault that `--tamper` names; none if the option is absent.
+/// The fault that `--tamper` names; `None` if the option is absent.
 fn injected_fault(tamper: &Option<String>) -> Result<Option<InjectedFault>, CliError> {
     match tamper {
         None => Ok(None),
--- a/crates/cli/src/measure/environment.rs
+++ b/crates/cli/src/measure/environment.rs
@@ -46,7 +46,7 @@
             .map_err(CliError::EmulatorStart)?;
         let mut workers = Vec::new();
         for index in 0..WORKERS {
-            let program = InvocationProfile {
+            let invocation_profile = InvocationProfile {
                 mean_work: Duration::from_secs_f64(args.work_ms / 1e3),
                 copy_mb: 1.0,
                 start_up_time: Duration::from_millis(1),
@@ -61,7 +61,7 @@
                 1,
                 WorkerProfile::unlimited(1e6),
                 store.server.address,
-                HashMap::from([(TRIGGER.to_owned(), program)]),
+                HashMap::from([(TRIGGER.to_owned(), invocation_profile)]),
                 IdempotencyStore::default(),
             );
             workers.push(worker.map_err(CliError::EmulatorStart)?);
@@ -97,7 +97,7 @@
             over_kserve: false,
             turn: None,
         };
-        let start = |client: usize| {
+        let start_client = |client: usize| {
             let client = AmqpClient {
                 broker: self.broker.address,
                 from: [127, 0, 2, 1 + client as u8].into(),
@@ -113,6 +113,6 @@
             };
             self.host.executor.spawn(client.run())
         };
-        (0..CLIENTS).map(start).collect()
+        (0..CLIENTS).map(start_client).collect()
     }
 }
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -36,7 +36,8 @@
 const TRIGGER: &str = "warm";
 /// Number of functions that are called in turn.
 const FUNCTIONS: u64 = 8;
-/// Copies are loaded and connections opened in this time; calls that are due in it are not counted.
+/// Time at the beginning of a run in which copies are loaded and connections are opened. Calls that are due in this
+/// time are not counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 /// Client timeout and latency objective, in milliseconds; longer than any invocation waits in a run.
 const TIMEOUT_MS: u64 = 5_000;
@@ -141,7 +142,7 @@
     RouterProcess::start(&file, &args.folder.join(format!("{name}.log")))
 }
 
-/// A run in which emulators and routers have been started.
+/// A run whose emulators and routers have been started.
 struct Measurement<'a> {
     args: &'a MeasureArgs,
     environment: &'a EmulatedEnvironment,
@@ -156,9 +157,9 @@
         let (args, broker) = (self.args, &self.environment.broker);
         self.wait_until_ready().await;
         let began = Instant::now();
-        let times: LatencyRecorder = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
+        let recorder: LatencyRecorder = Arc::new(Mutex::new((histogram(), began + WARM_UP)));
         // The clients run until these tasks are dropped at the end of this function.
-        let _clients = self.environment.start_clients(args, began, &times);
+        let _clients = self.environment.start_clients(args, began, &recorder);
         Timer::at(began + WARM_UP).await;
         let group_before = GroupTraffic::of(self.group);
         let witnesses_before_us = self.witnesses_cpu_us();
@@ -173,7 +174,7 @@
         let group_traffic = GroupTraffic::of(self.group).since(group_before);
         let unacknowledged = broker.unacked();
         Timer::after(Duration::from_secs(1)).await;
-        let latencies = lock(&times).0.clone();
+        let latencies = lock(&recorder).0.clone();
         let router_cpu_us = cpu_between_us(router_before, router_after);
         let per_invocation = |total| per_invocation(total, &latencies);
         let callers = self.measure_client_listeners(&direct).await;
--- a/crates/cli/src/measure/resources.rs
+++ b/crates/cli/src/measure/resources.rs
@@ -15,7 +15,7 @@
 }
 
 impl ProcessUsage {
-    /// Reads the usage of a process; none if the process does not exist.
+    /// Reads the usage of a process; `None` if it cannot be read, for example because the process does not exist.
     pub fn of(pid: u32) -> Option<Self> {
         let stat = procfs::process::Process::new(pid as i32)
             .and_then(|process| process.stat())
@@ -44,7 +44,7 @@
 }
 
 impl GroupTraffic {
-    /// The sum over the members that answer.
+    /// Sums the traffic of the members whose state can be fetched; the others count as 0.
     pub fn of(members: &[SocketAddr]) -> Self {
         let states = members
             .iter()
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -190,9 +190,9 @@
     }
 }
 
-/// Guards against a panic that stopped routers in a test in which many processes joined: the notification that one client
-/// had disconnected caused the answer to another client. Test builds of the router assert that no collection is borrowed
-/// at that time.
+/// Guards against a panic that stopped routers in a cluster test in which processes joined: the notification that one
+/// client had disconnected caused the answer to another client. Builds of the router with debug assertions check that
+/// no table of clients or workers is borrowed whenever the core receives an input.
 #[test]
 fn the_dispatch_of_a_disconnected_client_is_cancelled() {
     let w = World::new(6);
--- a/crates/gateway/src/fault_injection.rs
+++ b/crates/gateway/src/fault_injection.rs
@@ -61,19 +61,19 @@
     ExcessOrders,
     /// Rule 2, in a group: a dispatch is sent before a majority has stored its intent.
     SendWithoutMajority,
-    /// Takes over invocations based on local knowledge, without fencing the owner.
+    /// A member takes over invocations based on its local knowledge, without fencing the owner.
     UnfencedTakeover,
-    /// Stores an intent although it has promised not to store it any more.
+    /// A member stores an intent that it has promised not to store any more.
     BrokenPromise,
-    /// Votes although it has lost its state.
+    /// A member votes although it has lost its state.
     VoteWithoutMemory,
-    /// Treats the absence of a record as proof that nothing was sent.
+    /// A member treats the absence of a record as proof that nothing was sent.
     AbsenceAsProof,
-    /// Treats the failure of an owner as proof that the owner sent nothing.
+    /// A member treats the failure of an owner as proof that the owner sent nothing.
     DeadOwnerAsProof,
-    /// After a restart of all members, assumes that what none of them remembers never happened.
+    /// After a restart of all members, a member assumes that an event never happened if none has a record of it.
     TrustAfterFullRestart,
-    /// Votes on choices before they are written to its store.
+    /// A member votes on choices before they are written to its store.
     VoteBeforePersisted,
     /// Repeatedly corrupts the router's record of warm copies at workers; disables no safety check.
     CorruptedRecord,
@@ -205,6 +205,7 @@
         })
     }
 
+    /// Counts an eligible event, and returns whether the fault is applied to it.
     fn is_due(&self) -> bool {
         self.eligible_events.set(self.eligible_events.get() + 1);
         self.eligible_events.get().is_multiple_of(FAULT_EVERY)
--- a/crates/platform-node/src/discovery.rs
+++ b/crates/platform-node/src/discovery.rs
@@ -34,8 +34,8 @@
 }
 
 impl Discovery {
-    /// `names`: those of the zones and of the kinds of machines in the events. `now`: the time at which the router
-    /// starts, in microseconds of its clock.
+    /// `names` are the names of the zones and of the kinds of machines that the events may contain. `now` is the time
+    /// at which the router starts, in microseconds of its clock.
     pub fn new(
         address: SocketAddr,
         names: Names,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Follows the channel while the router runs. `seed`: that of the random jitter in the backoff.
+/// Follows the channel while the router runs. `seed` determines the random jitter of the backoff.
 pub(crate) async fn follow(node: Rc<Node>, seed: u64) {
     let mut backoff = Backoff::with_max_delay(seed, MAX_BACKOFF);
     loop {
@@ -180,7 +180,7 @@
             .await?;
         let arrived = node.arrival_time();
         // A channel that has fewer events than this router has applied lacks announced events, so its response does not
-        // renew the lease. The events that it sends after it has caught up may have waited there. They are read on a
+        // renew the lease. The events that it sends after it has caught up may have waited in it. They are read on a
         // new connection, and count as delayed like all events in a first response.
         if node.discovery.worker_list.borrow().is_behind(&batch) {
             return Err(ChannelError::Behind);
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -3,11 +3,11 @@
 
 use crate::config::Limits;
 
-/// Number of descriptors that are kept for everything but admitted clients and workers: the listener, discovery,
+/// Number of descriptors that are reserved for everything but admitted clients and workers: the listener, discovery,
 /// signals, the runtime, connections that are being closed, and clients that were rejected when they connected.
 const RESERVED_DESCRIPTORS: usize = 32;
 /// Client connections get the descriptors divided by this number. Well-behaved clients use at most a third of all
-/// descriptors, so a half leaves them enough even when other clients stay idle.
+/// descriptors, so half of them is enough even if other clients stay connected without sending requests.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
 /// Bodies of requests in flight get the memory divided by this number. The program and its tables need the rest.
 const BODY_MEMORY_DIVISOR: f64 = 8.0;
--- a/crates/platform/tests/client_protocol.rs
+++ b/crates/platform/tests/client_protocol.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The id of a function.
+/// A valid function id.
 const FUNCTION: &str = "7f3a9c21e0b4d655";
 
 /// Rules with two trigger types, of which the second one requires an idempotency key, and two accounts.
@@ -70,7 +70,10 @@
 
 /// Decodes the first request in `bytes`, which must be complete or malformed.
 fn read_first(bytes: &[u8]) -> Result<Request, RequestError> {
-    queue(bytes).take().expect("whole").request
+    queue(bytes)
+        .take()
+        .expect("a complete or malformed request")
+        .request
 }
 
 /// Guards against trimming Unicode spaces from field values: an account whose name ends in one would be mistaken for
@@ -93,19 +96,23 @@
         let rules = RequestRules { names, ..rules() };
         let mut queue = RequestQueue::default();
         queue.put(0, &request_with_field("Req-Owner", name), &rules);
-        let request = queue.take().expect("whole").request.expect(name);
+        let request = queue
+            .take()
+            .expect("a complete or malformed request")
+            .request
+            .expect(name);
         let RequestKind::Call(call) = request.kind else {
-            panic!("a call")
+            panic!("the request is not a call")
         };
         assert_eq!(call.account, 1, "{name}");
     }
 }
 
 /// The call in a valid request.
-fn call(found: Result<Request, RequestError>) -> Call {
-    match found.expect("good").kind {
+fn call(parsed: Result<Request, RequestError>) -> Call {
+    match parsed.expect("a valid request").kind {
         RequestKind::Call(call) => call,
-        other => panic!("{other:?}"),
+        other => panic!("the request is not a call: {other:?}"),
     }
 }
 
@@ -139,11 +146,11 @@
 
 #[test]
 fn health_request_has_no_body_and_connection_close_is_parsed() {
-    let found = read_first(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("good");
+    let found = read_first(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n").expect("a valid request");
     assert_eq!((found.kind, found.close), (RequestKind::Health, false));
     assert!(
         read_first(&request("00000000000000aa", "Connection: close\r\n", b""))
-            .expect("good")
+            .expect("a valid request")
             .close
     );
 }
@@ -392,7 +399,16 @@
     for text in [bare.replace("Req-Owner: acme\r\n", ""), bare] {
         let mut queue = RequestQueue::default();
         queue.put(0, text.as_bytes(), &rules);
-        assert_eq!(call(queue.take().expect("whole").request).account, 0);
+        assert_eq!(
+            call(
+                queue
+                    .take()
+                    .expect("a complete or malformed request")
+                    .request
+            )
+            .account,
+            0
+        );
     }
 }
 
--- a/crates/replica/src/events.rs
+++ b/crates/replica/src/events.rs
@@ -113,7 +113,7 @@
         from: MemberIndex,
         /// The nonce of the sender's process.
         nonce: u64,
-        /// An upper bound of the time that the message was in transit.
+        /// An upper bound of the time that the message was in transit, in microseconds.
         transit: Micros,
         /// The message.
         message: Message,
@@ -179,7 +179,7 @@
 /// Counters since the start of the process. Their keys in `/state` are their names in the `serde` encoding.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Invocations taken.
+    /// Invocations that this router announced ([`Input::Announce`]).
     pub taken: u64,
     /// Dispatches for which permission was requested.
     pub intents: u64,
@@ -223,7 +223,7 @@
     pub rejected_store_full: u64,
     /// Answers too long to be stored.
     pub answers_too_large: u64,
-    /// Comparisons begun.
+    /// Comparisons of records that this member began with other members.
     pub comparisons: u64,
     /// Records received in comparisons.
     pub records_fetched: u64,
@@ -232,7 +232,7 @@
     /// Requests for records that were dropped.
     #[serde(rename = "wants_dropped")]
     pub fetch_requests_dropped: u64,
-    /// Comparisons rejected because the sender has a different number of groups.
+    /// Comparisons rejected because the sender's store has a different number of groups of records.
     #[serde(rename = "misfits")]
     pub malformed_comparisons: u64,
     /// Votes on choices that waited for the disk.
--- a/crates/router/src/core/load_orders.rs
+++ b/crates/router/src/core/load_orders.rs
@@ -17,7 +17,8 @@
 
 /// Load orders.
 impl Router {
-    /// Orders a worker to load `copies` copies, as the balancer decided; 0 only queries how many are loaded.
+    /// Orders a worker to load `copies` copies, as the balancer decided. With 0 copies, the order only queries how many
+    /// copies are loaded.
     pub(super) fn order(
         &mut self,
         worker: WorkerIndex,
@@ -128,7 +129,8 @@
 /// Requests for copies that do not come from the balancer, and reports of workers.
 impl Router {
     /// Passes a request for a copy at a worker to the balancer, which decides whether to order it. The request is
-    /// ignored if this router knows neither `function` nor the similar function `similar_function`.
+    /// ignored if this router does not know the worker, knows neither `function` nor `similar_function`, or has no
+    /// capacity for `function`.
     pub(super) fn copy_wanted(
         &mut self,
         worker: &str,
@@ -140,11 +142,11 @@
         let Some(worker) = self.workers.find(worker) else {
             return;
         };
-        let similar = self
+        let known_function = self
             .functions
             .find(function)
             .or_else(|| self.functions.find(similar_function));
-        let Some(profile) = similar.and_then(|similar| self.functions.profile(similar)) else {
+        let Some(profile) = known_function.and_then(|known| self.functions.profile(known)) else {
             return;
         };
         if !self.functions.has_capacity_for(function) {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Passes the number of copies that a worker reported to the balancer.
+    /// Informs the balancer of the number of copies of a function that a worker reported.
     pub(super) fn copies_reported(
         &mut self,
         worker: &str,
--- a/crates/router/tests/balancer_only.rs
+++ b/crates/router/tests/balancer_only.rs
@@ -7,7 +7,8 @@
 mod harness;
 use harness::*;
 
-/// Guards against a retry with the same idempotency key that gets an answer which no worker gave to it.
+/// Guards against a retry that is answered with the answer to an earlier invocation with the same idempotency key,
+/// although no worker gave that answer to the retry.
 #[test]
 fn balancer_only_router_does_not_join_retries_with_the_same_idempotency_key() {
     let mut router = RouterHarness::balancer_only(2);
@@ -90,8 +91,9 @@
     assert!(!router.core.may_send(router.now, ticket));
 }
 
-/// Guards against a retry that is sent after the deduplication window. Workers drop repeats only within that window from
-/// the first sending, so the check right before the first byte must notice its end, however long connecting took.
+/// Guards against a retry that is sent after the deduplication window. The window begins with the first sending, and
+/// workers drop repeats only within it. However long connecting took, the check right before the first byte is sent
+/// must detect that the window has ended.
 #[test]
 fn retry_is_not_sent_after_its_deduplication_window() {
     for (trigger, outcome, may_still_be_sent) in [
--- a/crates/trace/src/file_writer.rs
+++ b/crates/trace/src/file_writer.rs
@@ -9,11 +9,11 @@
 use crate::start::Source;
 use crate::start_codec::encode_sources;
 
-/// Level of zstd. The output is 2 % smaller than at the fastest level, without a measurable difference in cost; higher
-/// levels reduced the size hardly further.
+/// Compression level of zstd. The output is 2 % smaller than at the fastest level, without a measurable difference in
+/// cost; higher levels hardly reduced the size further.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// A file that is being written.
+/// A trace file that is being written.
 #[derive(Debug)]
 pub struct TraceFileWriter<W: Write> {
     out: W,
@@ -40,8 +40,8 @@
         })
     }
 
-    /// Compresses a block and writes it in a single write, so that a process that is killed leaves it whole, truncated
-    /// or absent. Returns the number of bytes written.
+    /// Compresses a block and writes it in a single write, so that the block is complete, truncated or absent in the
+    /// file if the process is killed. Returns the number of bytes written.
     pub fn write_block(&mut self, source: u32, block: &UnpackedBlock) -> io::Result<u64> {
         let packed = zstd::bulk::compress(&block.bytes, COMPRESSION_LEVEL)?;
         self.write_packed(&BlockHeader::new(block, source, &packed), &packed)
--- a/crates/upgrade/tests/simulation/mod.rs
+++ b/crates/upgrade/tests/simulation/mod.rs
@@ -130,7 +130,7 @@
     misses_plans_until: Micros,
     /// Number of the router's incarnation.
     nonce: u64,
-    /// Of each member, whether it is considered alive, and when that last matched its connection.
+    /// For each member, whether it is considered alive, and when that last agreed with whether it is connected.
     considered_alive: Vec<(bool, Micros)>,
     /// The members considered alive when the planner was last informed of them.
     announced_alive: Vec<bool>,
@@ -211,7 +211,7 @@
     term: Name,
     /// The leader certainly knows sessions that came to the worker before this time.
     sessions_known_until: Micros,
-    /// Whether the region is draining, so that later sessions count too.
+    /// Whether the region is draining. If so, the leader counts as knowing later sessions too.
     region_drains: bool,
     /// Whether the drain limit has passed.
     drain_limit_passed: bool,
@@ -293,7 +293,8 @@
     event_count: u64,
     partition_until: Micros,
     slow_store_until: Micros,
-    /// Until this time no router can know that a worker has died.
+    /// Until this time, routers need not know that a worker has died, so the floor of lanes is not checked at an
+    /// unload.
     death_known_at: Micros,
     lost_requests_until: Micros,
     errors_until: Micros,
--- a/src/balancer/latencies.rs
+++ b/src/balancer/latencies.rs
@@ -5,8 +5,8 @@
 use super::functions::Function;
 use crate::interface::*;
 
-/// Without samples, the expected service time is the latency objective divided by this.
-const OBJECTIVE_PER_SERVICE: Micros = 8;
+/// Without samples, the expected service time is the latency objective divided by this number.
+const OBJECTIVE_DIVISOR: Micros = 8;
 
 /// Estimates over all functions, used for functions without samples of their own.
 #[derive(Default)]
@@ -42,7 +42,7 @@
             .iter()
             .zip(triggers)
             .map(|(estimate, trigger)| {
-                let guess = trigger.latency_objective / OBJECTIVE_PER_SERVICE;
+                let guess = trigger.latency_objective / OBJECTIVE_DIVISOR;
                 LatencyEstimate::first_known([*estimate], guess).upper_bound()
             })
             .max()
@@ -50,14 +50,14 @@
 }
 
 impl Balancer {
-    /// The expected service time of the function: from its own samples, else from those of its trigger type, else a
-    /// part of the latency objective.
+    /// The expected service time of the function: from its own samples, else from those of its trigger type, else the
+    /// latency objective divided by [`OBJECTIVE_DIVISOR`].
     pub(super) fn service_time(&self, function: &Function) -> LatencyEstimate {
-        let of_type = self.latencies.service_by_trigger[function.trigger];
+        let trigger_estimate = self.latencies.service_by_trigger[function.trigger];
         let objective = self.settings.triggers[function.trigger].latency_objective;
         LatencyEstimate::first_known(
-            [function.service_time, of_type],
-            objective / OBJECTIVE_PER_SERVICE,
+            [function.service_time, trigger_estimate],
+            objective / OBJECTIVE_DIVISOR,
         )
     }
 
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -18,7 +18,7 @@
 }
 
 impl<K: Eq + Hash + Clone> Interner<K> {
-    /// Returns the index of an id, which is assigned if the id has none.
+    /// Returns the index of an id; assigns one first if the id has none.
     pub fn intern<Q>(&mut self, id: &Q) -> u32
     where
         K: Borrow<Q>,
@@ -50,7 +50,8 @@
         self.ids.get(index as usize)?.as_ref()
     }
 
-    /// Frees the index for another id. Has no effect if the index is already free.
+    /// Removes the id that has this index, so that the index can be assigned to another id. Has no effect if the index
+    /// is already free.
     pub fn release(&mut self, index: u32) {
         if let Some(id) = self.ids.get_mut(index as usize).and_then(Option::take) {
             self.indices.remove(&id);
